--- a/coveflow/core/demand.py
+++ b/coveflow/core/demand.py
@@ -1,4 +1,4 @@
-"""How much a class of jobs asked for lately, as a guess of what it will ask for next."""
+"""Tracks the recent demand of job classes, to predict their next demand."""
 
 from __future__ import annotations
 
@@ -7,45 +7,48 @@
 
 from coveflow import constants as c
 from coveflow.core.model import Spec
-from coveflow.core.scene import Asked
+from coveflow.core.planner_state import ClassDemand
 
 
-class Demand:
-    """Tasks of a class by the time they came, over the last minutes."""
+class DemandTracker:
+    """Tasks of a class by arrival time, over the last minutes."""
 
     def __init__(self) -> None:
         self.spec: Spec | None = None
-        self.came: deque[tuple[float, int]] = deque()
+        self.arrivals: deque[tuple[float, int]] = deque()
 
     def add(self, spec: Spec, at: float) -> None:
         self.spec = spec
-        self.came.append((at, spec.tasks))
+        self.arrivals.append((at, spec.tasks))
 
-    def asked(self, now: float) -> Asked:
-        """The median of some equal parts of that time: a rush at one moment is not a rate."""
-        while self.came and now - self.came[0][0] > c.ASKED_PARTS * c.ASKED_PART_S:
-            self.came.popleft()
+    def estimate(self, now: float) -> ClassDemand:
+        """Estimate the demand as the median over equal time windows.
+
+        The median ignores a single burst, which does not indicate a continuing rate.
+        """
+        while self.arrivals and now - self.arrivals[0][0] > c.ASKED_PARTS * c.ASKED_PART_S:
+            self.arrivals.popleft()
         parts = [0] * c.ASKED_PARTS
-        for at, tasks in self.came:
+        for at, tasks in self.arrivals:
             parts[min(max(0, int((now - at) // c.ASKED_PART_S)), c.ASKED_PARTS - 1)] += tasks
         assert self.spec is not None
-        return Asked(self.spec, statistics.median(parts) / c.ASKED_PART_S)
+        return ClassDemand(self.spec, statistics.median(parts) / c.ASKED_PART_S)
 
 
-class Coming:
-    """Whether jobs of a class still come, by the times between those that came lately."""
+class ArrivalTracker:
+    """Tells whether jobs of a class still arrive, from the intervals between recent arrivals."""
 
     def __init__(self) -> None:
-        self.at: deque[float] = deque(maxlen=c.COMING_KEPT)
+        self.arrival_times: deque[float] = deque(maxlen=c.COMING_KEPT)
 
     def add(self, at: float) -> None:
-        """A job came at that time (s of the caller's clock); a new leader learns in any order."""
-        self.at.append(at)
+        """Record an arrival, in s of the caller's clock; a new leader may add them in any order."""
+        self.arrival_times.append(at)
 
-    def still(self, now: float) -> bool:
-        """False once several of the usual times between two jobs have passed without one."""
-        if len(self.at) < 2:
+    def is_active(self, now: float) -> bool:
+        """Return False after several mean intervals without an arrival."""
+        if len(self.arrival_times) < 2:
             return True
-        first, last = min(self.at), max(self.at)
-        usual = (last - first) / (len(self.at) - 1)
+        first, last = min(self.arrival_times), max(self.arrival_times)
+        usual = (last - first) / (len(self.arrival_times) - 1)
         return now - last <= max(c.COMING_LEAST_S, c.COMING_TIMES * usual)
--- a/coveflow/core/fleet.py
+++ b/coveflow/core/fleet.py
@@ -1,4 +1,4 @@
-"""Renting and returning machines: pure decisions from what the plan lacks."""
+"""Decides which machines to rent, drain and return, from the shortages a plan reports. Pure."""
 
 from __future__ import annotations
 
@@ -9,27 +9,35 @@
 import msgspec
 
 from coveflow import constants as c
-from coveflow.core.model import Flavor, Job, Listed, Machine, Placement, Spec, half
-from coveflow.core.planner import Lack
-from coveflow.core.scene import elsewhere
-from coveflow.core.timeline import EPS, places
+from coveflow.core.model import (
+    Flavor,
+    Job,
+    ListedMachine,
+    Machine,
+    Placement,
+    Spec,
+    max_tasks_per_zone,
+)
+from coveflow.core.planner import Shortage
+from coveflow.core.planner_state import fits_type_without_accelerators
+from coveflow.core.timeline import EPS, count_placeable
 from coveflow.settings import Tuning
 
-BEST_EFFORT_S = 8.0  # s a best-effort job waits for room before a machine is rented for it
-DRAIN_USED = 0.5  # part of a machine's CPUs in use up to which moving its tasks may pay
-DRAIN_PART = 0.1  # part of the machines that drain at the same time; two at the least
-DRAIN_TRIED = 64  # machines looked at in a cycle, so that its cost does not grow with the fleet
-DRAIN_LEFT_S = 20.0  # s a task must have left to be worth moving: a save, a fetch and a start
-DRAIN_RAN_S = 35.0  # s a task must have run; a start that is stopped earlier counts as none
-IDLE_SOON_S = 5.0  # s after which a machine goes back while much more room is idle
-READY_PART = 0.4  # of the CPUs in use: room beyond this is much more than a rush needs
-KEPT_S = 90.0  # s a rented machine is typically busy, to spread the cost of its boot over
-NEEDED_S = 180.0  # s for which the most machines that prompt work took stay ready
-REFUSED_S = 15.0  # s before a type, zone and kind that was refused is asked for again
+BEST_EFFORT_WAIT_S = 8.0  # s a best-effort job waits for capacity before a machine is rented for it
+DRAIN_MAX_USED_FRACTION = 0.5  # fraction of CPUs in use up to which draining a machine may pay off
+DRAIN_MAX_FLEET_FRACTION = 0.1  # fraction of the machines that may drain at once; at least two
+DRAIN_CANDIDATES_MAX = 64  # machines examined per cycle; bounds its cost in a large fleet
+DRAIN_MIN_REMAINING_S = 20.0  # s; less does not pay for the save, image fetch and start of a move
+DRAIN_MIN_RUN_S = 35.0  # s a task must have run; a start that is stopped earlier counts as none
+AMPLE_IDLE_S = 5.0  # s after which an idle machine is returned while idle capacity is ample
+AMPLE_IDLE_FRACTION = 0.4  # of the CPUs in use; more idle capacity exceeds the need of a burst
+TYPICAL_USE_S = 90.0  # s a rented machine is typically busy; its boot cost is spread over this time
+PROMPT_PEAK_S = 180.0  # s for which the peak number of machines used by prompt jobs is kept up
+REFUSAL_RETRY_S = 15.0  # s before a type, zone and kind is requested again after a refusal
 
 
-class Want(msgspec.Struct, frozen=True):
-    """One rental to ask for."""
+class RentalRequest(msgspec.Struct, frozen=True):
+    """One rental request to the cloud."""
 
     flavor: str
     zone: str
@@ -44,15 +52,18 @@
         return f"{self.count} {self.flavor} in {self.zone}{' spot' if self.spot else ''}"
 
 
-class Booting(msgspec.Struct, eq=False):
+class BootingMachine(msgspec.Struct, eq=False):
     flavor: str
     zone: str
     spot: bool
     since: float
 
 
-class Virtual(msgspec.Struct, eq=False):
-    """Room on a machine that is booting or about to be rented."""
+class SimulatedMachine(msgspec.Struct, eq=False):
+    """Free capacity of a machine, used to simulate placements on it.
+
+    The machine may be up, booting or about to be rented.
+    """
 
     flavor: Flavor
     zone: str
@@ -62,128 +73,142 @@
     accelerators: float
     slots: int = c.MACHINE_PLACEMENTS
 
-    def allowed(self, spec: Spec) -> bool:
+    def allows(self, spec: Spec) -> bool:
         return (
             (spec.types is None or self.flavor.name in spec.types)
             and (spec.zone is None or spec.zone == self.zone)
             and (spec.spot or not self.spot)
         )
 
-    def put(self, spec: Spec, count: int) -> int:
-        if not self.allowed(spec):
+    def place_up_to(self, spec: Spec, count: int) -> int:
+        if not self.allows(spec):
             return 0
-        took = min(count, self.slots, places(self.cpus, self.ram_gb, self.accelerators, spec))
+        took = min(
+            count, self.slots, count_placeable(self.cpus, self.ram_gb, self.accelerators, spec)
+        )
         self.slots -= took
         self.cpus -= took * spec.cpus
         self.ram_gb -= took * spec.ram_gb
         self.accelerators -= took * spec.accelerators
         return took
 
-    def give(self, spec: Spec) -> None:
+    def release(self, spec: Spec) -> None:
         self.slots += 1
         self.cpus += spec.cpus
         self.ram_gb += spec.ram_gb
         self.accelerators += spec.accelerators
 
 
-class Parts(msgspec.Struct, eq=False):
-    """Where the tasks of one job are or could go, by zone, and where no more of them may.
+class ZoneTaskCounts(msgspec.Struct, eq=False):
+    """Tasks of one job by zone, and the zones that may take more of them.
 
-    For a job spread over two zones machines were once rented in the cheaper one again and again.
+    Without it, machines for a job spread over two zones were rented in the cheaper zone again and
+    again, although that zone could take no more of its tasks.
     """
 
     spec: Spec
     zones: dict[str, int]
 
-    def room(self, zone: str) -> int:
-        """How many more of the job's tasks the zone may have, by the job's own rules."""
+    def remaining(self, zone: str) -> int:
+        """Return how many more tasks the zone may take under the job's placement constraints."""
         if self.spec.one_zone and self.zones and zone not in self.zones:
             return 0
-        return half(self.spec) - self.zones.get(zone, 0) if self.spec.spread else self.spec.tasks
+        return (
+            max_tasks_per_zone(self.spec) - self.zones.get(zone, 0)
+            if self.spec.spread
+            else self.spec.tasks
+        )
 
-    def put(self, machine: Virtual, count: int) -> int:
-        took = machine.put(self.spec, min(count, max(0, self.room(machine.zone))))
+    def place_up_to(self, machine: SimulatedMachine, count: int) -> int:
+        took = machine.place_up_to(self.spec, min(count, max(0, self.remaining(machine.zone))))
         if took and self.spec.spread:
             self.zones[machine.zone] = self.zones.get(machine.zone, 0) + took
         return took
 
-    def barred(self, zones: AbstractSet[str]) -> set[str]:
-        return {zone for zone in zones if self.room(zone) <= 0}
+    def full_zones(self, zones: AbstractSet[str]) -> set[str]:
+        return {zone for zone in zones if self.remaining(zone) <= 0}
 
 
-def virtual(flavor: Flavor, zone: str, spot: bool) -> Virtual:
-    return Virtual(flavor, zone, spot, flavor.cpus, flavor.ram_gb, flavor.accelerators)
+def empty_machine(flavor: Flavor, zone: str, spot: bool) -> SimulatedMachine:
+    return SimulatedMachine(flavor, zone, spot, flavor.cpus, flavor.ram_gb, flavor.accelerators)
 
 
-def _room_of(m: Machine) -> Virtual:
-    """What is free on a machine that is up."""
+def _simulate(m: Machine) -> SimulatedMachine:
+    """Return the free capacity of a machine that is up."""
     slots = max(0, c.MACHINE_PLACEMENTS - len(m.placements))
-    return Virtual(m.flavor, m.zone, m.spot, m.cpus, m.ram_gb, m.accelerators, slots)
+    return SimulatedMachine(m.flavor, m.zone, m.spot, m.cpus, m.ram_gb, m.accelerators, slots)
 
 
 class Backlog:
-    """Best-effort work that waits while spot machines are refused, and what there is for it."""
+    """Best-effort work that waits while spot is refused, and the machines that may run it."""
 
-    def __init__(self, machines: list[Machine], coming: list[Virtual]) -> None:
-        self.machines, self.coming = machines, coming
-        self.cpu_s = 0.0  # by the owners' estimates
+    def __init__(self, machines: list[Machine], coming: list[SimulatedMachine]) -> None:
+        self.machines, self.upcoming = machines, coming
+        self.cpu_s = 0.0  # CPU seconds of work, by the users' estimates
 
     def add(self, spec: Spec, count: int) -> None:
         run_s = c.BACKLOG_S if spec.kind == "service" else spec.expected_s
         self.cpu_s += spec.cpus * count * run_s
 
-    def places(self, spec: Spec) -> int:
-        """Further tasks that would have to run at once for all of it to begin in time.
+    def extra_tasks_needed(self, spec: Spec) -> int:
+        """Return how many more tasks must run at once for the whole backlog to start in time.
 
-        None while a spot machine is up or coming: what is waits for its turn there.
+        Zero while a usable spot machine is up or booting: the work waits for that one.
         """
-        rooms: list[Machine | Virtual] = [m for m in self.machines if _usable(m, spec)]
-        rooms += [room for room in self.coming if room.allowed(spec)]
-        if any(room.spot for room in rooms):
+        capacities: list[Machine | SimulatedMachine] = [
+            m for m in self.machines if _usable(m, spec)
+        ]
+        capacities += [capacity for capacity in self.upcoming if capacity.allows(spec)]
+        if any(capacity.spot for capacity in capacities):
             return 0
-        cpus = sum(room.flavor.cpus for room in rooms)
+        cpus = sum(capacity.flavor.cpus for capacity in capacities)
         missing = self.cpu_s / c.BACKLOG_S - cpus
         return max(0, math.ceil(missing / max(spec.cpus, EPS)))
 
 
 class Fleet(msgspec.Struct, eq=False):
-    booting: dict[str, Booting] = {}
-    asked: dict[tuple[str, str, bool], Want] = {}
-    closed: dict[tuple[str, str, bool], float] = {}
-    refused_from: dict[tuple[str, str, bool], float] = {}  # first of the refusals in a row
-    needed: dict[tuple[str, bool], tuple[int, float]] = {}  # most, and when; by type and kind
-
-    def knows(self, machine: str) -> bool:
+    booting: dict[str, BootingMachine] = {}
+    pending_requests: dict[tuple[str, str, bool], RentalRequest] = {}
+    refused_until: dict[tuple[str, str, bool], float] = {}
+    refused_since: dict[tuple[str, str, bool], float] = {}  # first of the consecutive refusals
+    prompt_peaks: dict[
+        tuple[str, bool], tuple[int, float]
+    ] = {}  # peak count and its time, by type, spot
+
+    def is_booting(self, machine: str) -> bool:
         return machine in self.booting
 
-    def up(self, machine: str, now: float) -> None:
+    def mark_up(self, machine: str, now: float) -> None:
         self.booting.pop(machine, None)
 
-    def gone(self, machine: str) -> None:
+    def mark_gone(self, machine: str) -> None:
         self.booting.pop(machine, None)
 
-    def found(self, row: Listed, now: float) -> None:
-        self.booting[row.machine] = Booting(row.type, row.zone, row.spot, now - row.age_s)
+    def add_listed(self, row: ListedMachine, now: float) -> None:
+        self.booting[row.machine] = BootingMachine(row.type, row.zone, row.spot, now - row.age_s)
 
-    def rented(self, want: Want, machines: list[str], now: float) -> None:
-        self.asked.pop(want.key, None)
+    def record_rented(self, want: RentalRequest, machines: list[str], now: float) -> None:
+        self.pending_requests.pop(want.key, None)
         if machines:
-            self.refused_from.pop(want.key, None)
+            self.refused_since.pop(want.key, None)
         for machine in machines:
-            self.booting[machine] = Booting(want.flavor, want.zone, want.spot, now)
+            self.booting[machine] = BootingMachine(want.flavor, want.zone, want.spot, now)
         if len(machines) < want.count:
-            self.closed[want.key] = now + REFUSED_S
-
-    def refused(self, want: Want, now: float) -> None:
-        self.asked.pop(want.key, None)
-        if now > self.closed.get(want.key, -math.inf) + REFUSED_S:
-            # Nobody asked meanwhile: the refusals before say nothing of the time between.
-            self.refused_from.pop(want.key, None)
-        self.refused_from.setdefault(want.key, now)
-        self.closed[want.key] = now + REFUSED_S
-
-    def overdue(self, now: float, flavors: dict[str, Flavor]) -> list[str]:
-        """Machines that should have come up long ago; they cost until they are returned."""
+            self.refused_until[want.key] = now + REFUSAL_RETRY_S
+
+    def record_refused(self, want: RentalRequest, now: float) -> None:
+        self.pending_requests.pop(want.key, None)
+        if now > self.refused_until.get(want.key, -math.inf) + REFUSAL_RETRY_S:
+            # Nothing was requested since, so the earlier refusals do not form one streak with this.
+            self.refused_since.pop(want.key, None)
+        self.refused_since.setdefault(want.key, now)
+        self.refused_until[want.key] = now + REFUSAL_RETRY_S
+
+    def pop_overdue_boots(self, now: float, flavors: dict[str, Flavor]) -> list[str]:
+        """Remove and return the machines that failed to boot in time.
+
+        They cost money until they are returned.
+        """
         late = []
         for name, boot in self.booting.items():
             flavor = flavors.get(boot.flavor)
@@ -199,109 +224,132 @@
         *,
         now: float,
         machines: list[Machine],
-        lacks: list[Lack],
+        shortages: list[Shortage],
         flavors: list[Flavor],
         tuning: Tuning,
-        settled: bool,
-        prompt: Callable[[str], bool] = lambda job: False,
-        shut: AbstractSet[str] = frozenset(),
-        expected: bool = True,
-    ) -> tuple[list[Want], list[str]]:
-        """What to ask for and what to give back; nothing is asked for in zones that are `shut`.
-
-        `prompt` tells the jobs whose like is to start promptly and still comes, `expected` whether
-        there is any such class: if not, nothing is kept up for it.
+        fleet_known: bool,
+        is_prompt: Callable[[str], bool] = lambda job: False,
+        excluded_zones: AbstractSet[str] = frozenset(),
+        prompt_work_expected: bool = True,
+    ) -> tuple[list[RentalRequest], list[str]]:
+        """Return the rentals to request and the machines to return.
+
+        Nothing is requested in the zones in `shut`. `prompt` says whether a job belongs to a class
+        that must start promptly and still receives jobs; `expected` says whether any such class
+        exists. If none does, no machines are kept up for it.
         """
         by_name = {f.name: f for f in flavors}
-        if expected:
-            self._needed(now, machines, prompt)
+        if prompt_work_expected:
+            self._update_prompt_peaks(now, machines, is_prompt)
         else:
-            # The evening's rush is over: 8,000 CPUs once stayed up for three minutes after it.
-            self.needed.clear()
-        wants = self._wants(now, lacks, by_name, machines, shut) if settled else []
-        returns = self._returns(now, machines, lacks, tuning) if settled else []
+            # No prompt jobs are expected, so their machines need not be kept up. Without this,
+            # 8,000 CPUs stayed up for three minutes after the last burst of a day.
+            self.prompt_peaks.clear()
+        wants = (
+            self._choose_rentals(now, shortages, by_name, machines, excluded_zones)
+            if fleet_known
+            else []
+        )
+        returns = self._choose_returns(now, machines, shortages, tuning) if fleet_known else []
         return wants, returns
 
-    def _needed(self, now: float, machines: list[Machine], prompt: Callable[[str], bool]) -> None:
-        """How many machines of each type and kind served work that is to start promptly.
+    def _update_prompt_peaks(
+        self, now: float, machines: list[Machine], is_prompt: Callable[[str], bool]
+    ) -> None:
+        """Track how many machines of each type and kind run jobs that must start promptly.
 
-        The most of the last minutes stays up: a boot takes longer than such work may wait.
+        The peak of the last minutes is kept up, as a boot takes longer than such jobs may wait.
         """
         counts: dict[tuple[str, bool], int] = {}
         for m in machines:
-            if any(prompt(p.job) for p in m.placements.values()):
+            if any(is_prompt(p.job) for p in m.placements.values()):
                 key = (m.flavor.name, m.spot)
                 counts[key] = counts.get(key, 0) + 1
         for key, count in counts.items():
-            if count >= self.needed.get(key, (0, 0.0))[0]:
-                self.needed[key] = (count, now)
-        for key, (_, at) in list(self.needed.items()):
-            if now - at > NEEDED_S:
-                self.needed[key] = (counts.get(key, 0), now)
+            if count >= self.prompt_peaks.get(key, (0, 0.0))[0]:
+                self.prompt_peaks[key] = (count, now)
+        for key, (_, at) in list(self.prompt_peaks.items()):
+            if now - at > PROMPT_PEAK_S:
+                self.prompt_peaks[key] = (counts.get(key, 0), now)
 
-    def _wants(
+    def _choose_rentals(
         self,
         now: float,
-        lacks: list[Lack],
+        shortages: list[Shortage],
         flavors: dict[str, Flavor],
         machines: list[Machine],
-        shut: AbstractSet[str],
-    ) -> list[Want]:
+        excluded_zones: AbstractSet[str],
+    ) -> list[RentalRequest]:
         coming = [
-            virtual(flavors[b.flavor], b.zone, b.spot)
+            empty_machine(flavors[b.flavor], b.zone, b.spot)
             for b in self.booting.values()
-            if b.flavor in flavors and b.zone not in shut
+            if b.flavor in flavors and b.zone not in excluded_zones
         ]
-        for want in self.asked.values():
+        for want in self.pending_requests.values():
             if want.flavor in flavors:
                 coming += [
-                    virtual(flavors[want.flavor], want.zone, want.spot) for _ in range(want.count)
+                    empty_machine(flavors[want.flavor], want.zone, want.spot)
+                    for _ in range(want.count)
                 ]
         counts: dict[tuple[str, str, bool], int] = {}
         zones = {zone for flavor in flavors.values() for zone in flavor.zones}
         backlog = Backlog(machines, list(coming))
-        for lack in lacks:
-            spec, left = lack.spec, lack.count
-            if not lack.urgent and lack.waited < BEST_EFFORT_S:
+        for shortage in shortages:
+            spec, left = shortage.spec, shortage.count
+            if not shortage.urgent and shortage.waited_s < BEST_EFFORT_WAIT_S:
                 continue
-            # Machines for a job bound to one zone were asked for in others, more in each cycle.
-            useless = frozenset() if lack.open_to is None else zones - lack.open_to
-            # What is beside accelerators is kept for their work while others can be had.
-            plain = spec.accelerators <= 0 and elsewhere(spec, list(flavors.values()))
-            parts = Parts(spec, dict(lack.placed_in))
+            # Zones whose machines cannot help the job. Without this, more machines were rented in
+            # each cycle in zones that a job bound to one zone cannot use.
+            unusable_zones = (
+                frozenset() if shortage.usable_zones is None else zones - shortage.usable_zones
+            )
+            # Machines with accelerators are kept for jobs that need them if other types will do.
+            plain = spec.accelerators <= 0 and fits_type_without_accelerators(
+                spec, list(flavors.values())
+            )
+            zone_counts = ZoneTaskCounts(spec, dict(shortage.tasks_by_zone))
             for machine in coming:
                 if left <= 0:
                     break
-                if machine.zone not in useless and not (plain and machine.flavor.accelerators > 0):
-                    left -= parts.put(machine, left)
-            ordinary = lack.urgent or _stranded(
-                spec, [m for m in machines if m.zone not in useless]
+                if machine.zone not in unusable_zones and not (
+                    plain and machine.flavor.accelerators > 0
+                ):
+                    left -= zone_counts.place_up_to(machine, left)
+            on_demand = shortage.urgent or _fits_no_machine_up(
+                spec, [m for m in machines if m.zone not in unusable_zones]
             )
-            if not ordinary and left > 0 and self._spot_refused(now, spec, flavors, plain, shut):
+            if (
+                not on_demand
+                and left > 0
+                and self._spot_refused(now, spec, flavors, plain, excluded_zones)
+            ):
                 backlog.add(spec, left)
-                left = self._owed(lack, left, backlog)
-                ordinary = left > 0
+                left = self._count_on_demand_tasks(shortage, left, backlog)
+                on_demand = left > 0
             coming = [machine for machine in coming if machine.cpus > EPS]
             while left > 0:
-                # A kind whose request is full leaves the rest to the next kind at once.
-                barred = shut | useless | parts.barred(zones)
-                option = self._cheapest(now, spec, ordinary, left, flavors, counts, plain, barred)
+                # A type, zone and kind whose request is at the maximum is skipped, so that the
+                # rest is requested from the next cheapest one in the same cycle.
+                blocked_zones = excluded_zones | unusable_zones | zone_counts.full_zones(zones)
+                option = self._cheapest_option(
+                    now, spec, on_demand, left, flavors, counts, plain, blocked_zones
+                )
                 if option is None:
                     break
                 flavor, zone, spot = option
-                machine = virtual(flavor, zone, spot)
-                took = parts.put(machine, left)
+                machine = empty_machine(flavor, zone, spot)
+                took = zone_counts.place_up_to(machine, left)
                 if took <= 0:
                     break
                 left -= took
                 coming.append(machine)
-                backlog.coming.append(machine)
+                backlog.upcoming.append(machine)
                 key = (flavor.name, zone, spot)
                 counts[key] = counts.get(key, 0) + 1
         wants = []
         for key, count in counts.items():
-            want = Want(*key, count)
-            self.asked[key] = want
+            want = RentalRequest(*key, count)
+            self.pending_requests[key] = want
             wants.append(want)
         return wants
 
@@ -311,194 +359,195 @@
         spec: Spec,
         flavors: dict[str, Flavor],
         plain: bool,
-        shut: AbstractSet[str],
+        excluded_zones: AbstractSet[str],
     ) -> bool:
-        """Whether the cloud refused all spot machines that the job may use, for some time."""
+        """Whether the cloud has refused all spot machines the job may use for SPOT_REFUSED_S."""
         keys = [
             (flavor.name, zone, True)
             for flavor in flavors.values()
             if (spec.types is None or flavor.name in spec.types)
             and not (plain and flavor.accelerators > 0)
-            and places(flavor.cpus, flavor.ram_gb, flavor.accelerators, spec) > 0
+            and count_placeable(flavor.cpus, flavor.ram_gb, flavor.accelerators, spec) > 0
             for zone in flavor.zones
-            if zone not in shut and spec.zone in (None, zone)
+            if zone not in excluded_zones and spec.zone in (None, zone)
         ]
         return all(
-            (self.closed.get(key, -math.inf) > now or key in self.asked)
-            and now - self.refused_from.get(key, now) >= c.SPOT_REFUSED_S
+            (self.refused_until.get(key, -math.inf) > now or key in self.pending_requests)
+            and now - self.refused_since.get(key, now) >= c.SPOT_REFUSED_S
             for key in keys
         )
 
-    def _owed(self, lack: Lack, left: int, backlog: Backlog) -> int:
-        """How many of a best-effort job's tasks get ordinary machines while spot is refused.
+    def _count_on_demand_tasks(self, shortage: Shortage, left: int, backlog: Backlog) -> int:
+        """Return how many best-effort tasks get on-demand machines while spot is refused.
 
-        It waits for its turn on what is up, as that is cheaper, but not where nothing of it ever
-        began, nor where there are no spot machines at all and its turn would take too long: with
-        none to be had one machine did the work of ten for 200 s, and more came all the time.
+        Waiting for the machines that are up is cheaper, so the job waits, with two exceptions: no
+        task of it was ever placed, or there are no spot machines at all and the wait would be too
+        long. Without the second one, one machine did the work of ten for 200 s while more arrived.
         """
-        if lack.waited < c.SPOT_REFUSED_S:
+        if shortage.waited_s < c.SPOT_REFUSED_S:
             return 0
-        if not lack.begun and lack.waited >= c.BEGIN_S:
+        if not shortage.has_started and shortage.waited_s >= c.BEGIN_S:
             return left
-        count = min(left, backlog.places(lack.spec))
-        return left if count and lack.spec.kind == "gang" else count
+        count = min(left, backlog.extra_tasks_needed(shortage.spec))
+        return left if count and shortage.spec.kind == "gang" else count
 
-    def _cheapest(
+    def _cheapest_option(
         self,
         now: float,
         spec: Spec,
-        ordinary: bool,
+        on_demand: bool,
         left: int,
         flavors: dict[str, Flavor],
         counts: dict[tuple[str, str, bool], int],
         plain: bool,
-        shut: AbstractSet[str],
+        excluded_zones: AbstractSet[str],
     ) -> tuple[Flavor, str, bool] | None:
         best: tuple[tuple[float, ...], tuple[Flavor, str, bool]] | None = None
         for flavor in flavors.values():
             if spec.types is not None and flavor.name not in spec.types:
                 continue
-            slots = places(flavor.cpus, flavor.ram_gb, flavor.accelerators, spec)
+            slots = count_placeable(flavor.cpus, flavor.ram_gb, flavor.accelerators, spec)
             if slots <= 0 or (plain and flavor.accelerators > 0):
                 continue
             for zone in flavor.zones:
-                if zone in shut or (spec.zone is not None and zone != spec.zone):
+                if zone in excluded_zones or (spec.zone is not None and zone != spec.zone):
                     continue
                 for spot in (True, False) if spec.spot else (False,):
                     key = (flavor.name, zone, spot)
-                    if self.closed.get(key, -math.inf) > now or key in self.asked:
+                    if self.refused_until.get(key, -math.inf) > now or key in self.pending_requests:
                         continue
                     if counts.get(key, 0) >= c.MAX_RENT:
                         continue
-                    if not spot and spec.spot and not ordinary:
+                    if not spot and spec.spot and not on_demand:
                         continue
-                    # Booting is paid for too, so a machine that is up sooner may be cheaper.
-                    paid = flavor.rate(spot) * (flavor.boot_s + KEPT_S)
+                    # The boot time is billed too, so a machine that boots faster may be cheaper.
+                    paid = flavor.rate(spot) * (flavor.boot_s + TYPICAL_USE_S)
                     rank = (paid / min(slots, max(left, 1)), flavor.boot_s)
                     if best is None or rank < best[0]:
                         best = (rank, (flavor, zone, spot))
         return best[1] if best else None
 
-    def drains(
+    def choose_drains(
         self,
         now: float,
         machines: list[Machine],
-        lacks: list[Lack],
+        shortages: list[Shortage],
         left: Callable[[Placement], float],
         job_of: Callable[[str], Job],
     ) -> list[str]:
-        """Machines whose few, saving tasks are better moved, so that they can be returned.
+        """Return the machines to drain: those with few tasks, all able to save and fit elsewhere.
 
-        After a rush the last long tasks kept nearly empty machines up for minutes.
+        Without draining, the last long tasks of a burst kept nearly empty machines up for minutes.
         """
         moving = sum(m.draining for m in machines)
-        most = max(2, int(DRAIN_PART * len(machines)))
-        if lacks or moving >= most:
+        most = max(2, int(DRAIN_MAX_FLEET_FRACTION * len(machines)))
+        if shortages or moving >= most:
             return []
-        homes = [
+        targets = [
             m
             for m in machines
             if m.up
-            and not (m.returning or m.draining or m.suspect or m.hearing.deaf)
+            and not (m.returning or m.draining or m.suspect or m.answer_receipt.deaf)
             and m.ends_at is None
         ]
         candidates: list[tuple[float, Machine, list[Spec]]] = []
-        for m in homes:
+        for m in targets:
             used = m.flavor.cpus - m.cpus
-            if not m.placements or used > DRAIN_USED * m.flavor.cpus:
+            if not m.placements or used > DRAIN_MAX_USED_FRACTION * m.flavor.cpus:
                 continue
-            if now - m.born < c.RETURNED_COST_S:
+            if now - m.known_since < c.RETURNED_COST_S:
                 continue
             jobs = [job_of(p.job) for p in m.placements.values()]
             specs = [job.spec for job in jobs]
             if any(
-                job.spec.checkpoint_s <= 0 or job.spec.kind != "array" or not job.repeat
+                job.spec.checkpoint_s <= 0 or job.spec.kind != "array" or not job.may_repeat
                 for job in jobs
             ) or any(
                 p.stopping
                 or p.state != "running"
-                or left(p) < DRAIN_LEFT_S
-                or p.since is None
-                or now - p.since < DRAIN_RAN_S
+                or left(p) < DRAIN_MIN_REMAINING_S
+                or p.running_since is None
+                or now - p.running_since < DRAIN_MIN_RUN_S
                 for p in m.placements.values()
             ):
                 continue
             candidates.append((m.flavor.rate(m.spot) / max(used, EPS), m, specs))
         candidates.sort(key=lambda entry: (-entry[0], entry[1].id))
-        rooms = [
+        capacities = [
             (
                 m.flavor.rate(m.spot) / max(m.flavor.cpus, EPS),
                 m.id,
-                _room_of(m),
+                _simulate(m),
             )
-            for m in homes
+            for m in targets
             if m.placements and m.cpus > EPS
         ]
-        rooms.sort(key=lambda entry: entry[:2])
+        capacities.sort(key=lambda entry: entry[:2])
         chosen: list[str] = []
-        for _, m, specs in candidates[:DRAIN_TRIED]:
+        for _, m, specs in candidates[:DRAIN_CANDIDATES_MAX]:
             if len(chosen) + moving >= most:
                 break
             per_cpu = m.flavor.rate(m.spot) / max(m.flavor.cpus, EPS)
             others = [
-                room
-                for rate, name, room in rooms
+                capacity
+                for rate, name, capacity in capacities
                 if rate <= per_cpu + EPS and name != m.id and name not in chosen
             ]
-            if _moves(specs, others):
+            if _can_move_all(specs, others):
                 chosen.append(m.id)
         return chosen
 
-    def _returns(
+    def _choose_returns(
         self,
         now: float,
         machines: list[Machine],
-        lacks: list[Lack],
+        shortages: list[Shortage],
         tuning: Tuning,
     ) -> list[str]:
         idle: list[Machine] = []
         free = used = 0.0
         up: dict[tuple[str, bool], int] = {}
         for m in machines:
-            if m.returning or not m.up or m.hearing.deaf:
+            if m.returning or not m.up or m.answer_receipt.deaf:
                 continue
             key = (m.flavor.name, m.spot)
             up[key] = up.get(key, 0) + 1
             used += m.flavor.cpus - m.cpus
             free += m.cpus
-            if m.placements or m.clearing:
+            if m.placements or m.uncommitted_ends:
                 m.idle_since = None
                 continue
             if m.idle_since is None:
                 m.idle_since = now
             idle.append(m)
         wait = tuning.idle_s
-        soon = min(wait, IDLE_SOON_S)
-        # The dearest per CPU go first.
+        soon = min(wait, AMPLE_IDLE_S)
+        # Return the most expensive machines per CPU first.
         idle.sort(key=lambda m: -m.flavor.rate(m.spot) / max(m.flavor.cpus, 1.0))
         returns = []
         for m in idle:
             if m.draining:
-                # It takes no more work: waiting for some only costs.
+                # A draining machine accepts no work, so keeping it idle only costs money.
                 free -= m.cpus
                 returns.append(m.id)
                 continue
-            ample = free - m.flavor.cpus > READY_PART * used
+            ample = free - m.flavor.cpus > AMPLE_IDLE_FRACTION * used
             if now - m.idle_since < (soon if ample else wait):
                 continue
-            if now - m.born < c.RETURNED_COST_S - m.flavor.boot_s:
+            if now - m.known_since < c.RETURNED_COST_S - m.flavor.boot_s:
                 continue
             if m.ends_at is not None:
                 continue
             if any(
-                m.allowed(lack.spec) and (lack.open_to is None or m.zone in lack.open_to)
-                for lack in lacks
+                m.allows(shortage.spec)
+                and (shortage.usable_zones is None or m.zone in shortage.usable_zones)
+                for shortage in shortages
             ):
                 continue
             if free - m.flavor.cpus < tuning.spare * used:
                 continue
             key = (m.flavor.name, m.spot)
-            if up[key] <= self.needed.get(key, (0, 0.0))[0]:
+            if up[key] <= self.prompt_peaks.get(key, (0, 0.0))[0]:
                 continue
             up[key] -= 1
             free -= m.flavor.cpus
@@ -506,40 +555,41 @@
         return returns
 
 
-def _stranded(spec: Spec, machines: list[Machine]) -> bool:
-    """Whether the machines that are up could never take the job, were they all empty.
+def _fits_no_machine_up(spec: Spec, machines: list[Machine]) -> bool:
+    """Whether the machines that are up could not run the job even if they were all empty.
 
-    Best-effort work that may use spot machines waits for those, or for room on what is up. Where
-    there is neither, as in a zone without spot machines after its last one went back, it once
-    waited for ever; so did a gang for whose tasks what was up did not suffice.
+    Best-effort jobs that may use spot machines wait for those or for capacity on machines that are
+    up. With neither, they would wait forever: in a zone without spot machines whose last machine
+    was returned, for example, or for a gang larger than the machines that are up.
     """
     zones: dict[str, int] = {}
     for m in machines:
         if _usable(m, spec):
-            fits = places(m.flavor.cpus, m.flavor.ram_gb, m.flavor.accelerators, spec)
+            fits = count_placeable(m.flavor.cpus, m.flavor.ram_gb, m.flavor.accelerators, spec)
             zones[m.zone] = zones.get(m.zone, 0) + fits
     if spec.spread:
-        zones = {zone: min(fits, half(spec)) for zone, fits in zones.items()}
+        zones = {zone: min(fits, max_tasks_per_zone(spec)) for zone, fits in zones.items()}
     together = max if spec.one_zone else sum
-    # Room that falls free in one zone is none for the other half.
+    # A gang and a spread service need capacity for all their tasks: what becomes free in one zone
+    # does not help the half that must run in another.
     whole = spec.kind == "gang" or (spec.kind == "service" and spec.spread)
     return together(zones.values() or [0]) < (spec.tasks if whole else 1)
 
 
 def _usable(m: Machine, spec: Spec) -> bool:
-    return m.up and not (m.returning or m.draining or m.hearing.deaf) and m.allowed(spec)
+    return m.up and not (m.returning or m.draining or m.answer_receipt.deaf) and m.allows(spec)
 
 
-def _moves(specs: list[Spec], rooms: list[Virtual]) -> bool:
-    """Whether the rooms take one task of each job; they keep them only if they take all."""
-    moved: list[tuple[Virtual, Spec]] = []
+def _can_move_all(specs: list[Spec], capacities: list[SimulatedMachine]) -> bool:
+    """Place one task per spec; on failure undo all of it and return False."""
+    moved: list[tuple[SimulatedMachine, Spec]] = []
     for spec in specs:
-        for room in rooms:
-            if room.put(spec, 1):
-                moved.append((room, spec))
+        for capacity in capacities:
+            if capacity.place_up_to(spec, 1):
+                moved.append((capacity, spec))
                 break
         else:
-            for room, back in moved:
-                room.give(back)
+            for capacity, back in moved:
+                capacity.release(back)
             return False
     return True
--- a/coveflow/core/model.py
+++ b/coveflow/core/model.py
@@ -1,4 +1,4 @@
-"""Jobs, attempts and machines as pure state machines: no clock, no input or output."""
+"""Data model of jobs, attempts and machines. Pure: no clock and no I/O."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Spec(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What a user submitted."""
+    """A job as submitted by a user."""
 
     id: str
     workload: str
@@ -38,11 +38,11 @@
     deadline_s: float | None = None
 
     def __post_init__(self) -> None:
-        """Keep numbers in a range in which any sum or quotient of them is finite.
+        """Clamp numeric fields to a range in which sums and quotients stay finite.
 
-        A task of 1e-310 CPUs was accepted, fitted a machine infinitely often and ended every
-        planning pass; so did a run time whose half was beyond all numbers. Records of older builds
-        hold such jobs too.
+        A task of 1e-310 CPUs fits a machine infinitely often, which made every planning pass fail;
+        so did a run time that overflowed in later arithmetic. Records written by older builds may
+        contain such jobs, so the check is done here and not only on submission.
         """
         for name in ("cpus", "accelerators", "ram_gb", "image_gb"):
             self._bound(name, c.AMOUNT_LEAST, c.AMOUNT_MOST)
@@ -50,14 +50,14 @@
             self._bound(name, c.DURATION_LEAST_S, c.DURATION_MOST_S)
 
     def _bound(self, name: str, least: float, most: float) -> None:
-        """Bound the field's number; nought, None and what is no amount at all stay as they are."""
+        """Clamp one field; zero, negative, None and NaN values are left unchanged."""
         number = getattr(self, name)
         if number is not None and number > 0 and not least <= number <= most:
             msgspec.structs.force_setattr(self, name, min(max(number, least), most))
 
 
-def half(spec: Spec) -> int:
-    """How many tasks of a job with `spread` one zone may have."""
+def max_tasks_per_zone(spec: Spec) -> int:
+    """Return the most tasks of a job with `spread` that may run in one zone."""
     return (spec.tasks + 1) // 2
 
 
@@ -78,10 +78,11 @@
     def rate(self, spot: bool) -> float:
         return self.spot_price if spot else self.price
 
-    def absurd(self) -> str:
-        """The first field that no machine type can have; empty if there is none.
+    def invalid_field(self) -> str:
+        """Return the name of the first field with an invalid value, or an empty string.
 
-        Plans divide by speeds and amounts, and weigh prices: one such type must not end them.
+        The planner divides by speeds and amounts and compares prices, so one invalid machine type
+        could make every planning pass fail.
         """
         numbers = {
             "cpus": (self.cpus, c.AMOUNT_LEAST, c.AMOUNT_MOST),
@@ -94,7 +95,7 @@
             "boot_s": (self.boot_s, 0.0, c.DURATION_MOST_S),
         }
         for name, (number, least, most) in numbers.items():
-            if not least <= number <= most:  # NaN neither
+            if not least <= number <= most:  # also true for NaN
                 return name
         names = {"name": [self.name], "zones": self.zones}
         for name, texts in names.items():
@@ -133,8 +134,8 @@
     grace_s: float = 0.0
 
 
-class Listed(msgspec.Struct, frozen=True):
-    """A row of the cloud's machine list."""
+class ListedMachine(msgspec.Struct, frozen=True):
+    """One machine in the list returned by the cloud API."""
 
     machine: str
     address: str
@@ -146,7 +147,10 @@
 
 
 class Placement(msgspec.Struct, eq=False):
-    """One attempt of one task on one machine. It lives until its end is proven."""
+    """One attempt of one task on one machine.
+
+    It exists until the attempt is proven to have ended or can no longer run.
+    """
 
     job: str
     task: int
@@ -154,11 +158,12 @@
     machine: str
     tenure: int
     committed: bool = False
-    sent: int = -1  # counter of the report whose answer last carried its run; -1: not by us
-    state: str = ""  # as last reported; "" before that
-    since: float | None = None  # when it was first seen running
+    # Counter of the report whose reply last carried the run order; -1 if this leader sent none.
+    sent_with_report: int = -1
+    state: str = ""  # last reported state; empty before the first report
+    running_since: float | None = None  # time at which it was first reported as running
     placed_at: float = 0.0
-    restored: bool = False  # an earlier leader may have told it to its machine
+    restored: bool = False  # an earlier leader may have sent the run order to the machine
     stopping: bool = False
     grace_s: float = 0.0
     overrun: int = 0
@@ -168,41 +173,47 @@
         return (self.job, self.task, self.number)
 
     @property
-    def told(self) -> bool:
-        """Whether its run may have reached the machine: only then can it ever have started."""
-        return self.restored or self.sent >= 0
+    def run_may_have_been_sent(self) -> bool:
+        """Whether the run order may have reached the machine; otherwise it cannot have started."""
+        return self.restored or self.sent_with_report >= 0
 
 
 class Job(msgspec.Struct, eq=False):
     spec: Spec
-    arrived: float  # time of day of the acceptance
-    rev: int  # revision of the accepted record
-    cancelled: float | None = None  # time of day of the cancellation
-    floor: int = 0  # no attempt number up to this may ever be used again
+    accepted_at: float  # wall-clock time at which the job was accepted
+    rev: int  # store revision of the accepted record
+    cancelled: float | None = None  # wall-clock time of the cancellation
+    last_attempt_number: int = (
+        0  # highest attempt number ever used; none up to it may be used again
+    )
     done: set[int] = set()
-    bits: dict[int, int] = {}  # the same as a bit map per chunk
-    done_committed: int = 0  # of `done`, how many are on record; users are told of no others
-    attempts: int = 0  # on machines, until proven gone
-    free: list[int] = []  # tasks that may be placed, last first
+    done_bitmaps: dict[int, int] = {}  # `done` as one bitmap per chunk
+    done_committed: int = 0  # completed tasks committed to the store; only these are shown to users
+    attempts: int = 0  # attempts on machines that are not yet proven gone
+    pending: list[int] = []  # pending tasks that may be placed, in descending order
     placed: dict[int, Placement] = {}
     seen_at: float = 0.0
-    run_sum: float = 0.0  # s, over the completed tasks that were never interrupted
+    run_sum: float = 0.0  # s; total run time of the completed tasks that were never interrupted
     run_count: int = 0
     errors: int = 0
     not_before: float = 0.0
     bad_machines: set[str] = set()
-    guess_s: float = 0.0
-    guess_of: int = -1  # version of the histories that the guess was taken from
-    told_guess_s: float = 0.0  # the guess that the trace has
+    predicted_s: float = 0.0
+    prediction_version: int = (
+        -1
+    )  # version of the run time histories that the estimate was taken from
+    traced_prediction_s: float = 0.0  # estimate last written to the trace
     preempted: int = 0
     finishing: bool = False
-    awaits_row: bool = False  # a peer told of its cancellation before the store did
-    counted: bool = False  # its run time is in the histories
-    repeat: bool = True  # its class allows that an attempt is made again, or stopped for others
-    held: set[int] = set()  # tasks that wait for an operator's word, as they may have run
-    given_up: set[int] = set()  # tasks that an operator said will never run again
-    # Jobs of another interface: what it keeps with the job, its tasks' own word on how they ended,
-    # and why the system ended the job, if it did.
+    awaits_cancel_record: bool = (
+        False  # a peer announced the cancellation; its store record is not read yet
+    )
+    run_time_observed: bool = False  # its run time has been added to the histories
+    may_repeat: bool = True  # its class allows retries of an attempt and preemption
+    held: set[int] = set()  # tasks that may have run and wait for an operator's decision
+    given_up: set[int] = set()  # tasks that an operator decided never to run again
+    # For jobs submitted through another API: the data that API keeps with the job, the results
+    # that the tasks themselves reported, and why the system ended the job, if it did.
     rider: Any = None
     outcome: dict[str, Any] = {}
     failed: str = ""
@@ -212,62 +223,64 @@
         return self.spec.id
 
     @property
-    def over(self) -> bool:
-        """Nothing is left to run and nothing is left on a machine."""
+    def is_finished(self) -> bool:
+        """Whether no task is left to run and no attempt is left on a machine."""
         if self.placed:
             return False
-        return self.cancelled is not None or self.complete
+        return self.cancelled is not None or self.is_complete
 
     @property
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         return len(self.done) == self.spec.tasks
 
     @property
-    def begun(self) -> bool:
-        """Whether any task of it was ever on a machine; known to every leader."""
-        return bool(self.done or self.placed or self.floor)
+    def has_started(self) -> bool:
+        """Whether any task was ever placed on a machine; every new leader can derive this."""
+        return bool(self.done or self.placed or self.last_attempt_number)
 
-    def refill(self) -> None:
-        """Recompute the free tasks from what is done and placed."""
-        self.free = [t for t in range(self.spec.tasks - 1, -1, -1) if self.may_free(t)]
+    def recompute_pending(self) -> None:
+        """Recompute the pending tasks from the completed and placed ones."""
+        self.pending = [t for t in range(self.spec.tasks - 1, -1, -1) if self.may_be_placed(t)]
 
-    def may_free(self, task: int) -> bool:
-        """Whether a task whose attempt is proven gone may be placed again."""
+    def may_be_placed(self, task: int) -> bool:
+        """Whether a task may be placed again once its last attempt is proven gone."""
         return not (
             task in self.done or task in self.placed or task in self.held or task in self.given_up
         )
 
-    def may_have_run_unseen(self, p: Placement) -> bool:
-        """Whether an attempt that may not be repeated may have run, though nothing shows it.
+    def may_have_run_unreported(self, p: Placement) -> bool:
+        """Whether an attempt that must not be retried may have run without being reported.
 
-        An earlier leader may have told it, and the machine may have begun again under its old
-        session: told once more by the next leader, it ran twice.
+        An earlier leader may have sent the run order, and the machine may have restarted under its
+        old session. If the next leader sent the order again, the task would run twice.
         """
-        return p.restored and not p.state and not self.repeat
+        return p.restored and not p.state and not self.may_repeat
 
-    def next_number(self) -> int:
-        return self.floor + 1
+    def next_attempt_number(self) -> int:
+        return self.last_attempt_number + 1
 
     def place(self, machine: Machine, now: float) -> Placement:
-        task = self.free.pop()
-        p = Placement(self.id, task, self.next_number(), machine.id, machine.tenure, placed_at=now)
+        task = self.pending.pop()
+        p = Placement(
+            self.id, task, self.next_attempt_number(), machine.id, machine.tenure, placed_at=now
+        )
         self.placed[task] = p
         self.attempts += 1
         machine.placements[p.key] = p
-        machine.take(self.spec)
+        machine.allocate(self.spec)
         return p
 
     def mark_done(self, task: int) -> None:
         self.done.add(task)
         index, offset = divmod(task, c.CHUNK_TASKS)
-        self.bits[index] = self.bits.get(index, 0) | 1 << offset
+        self.done_bitmaps[index] = self.done_bitmaps.get(index, 0) | 1 << offset
 
-    def chunk(self, index: int) -> str:
-        """Completed tasks of one chunk as a bit map in hexadecimal."""
-        return f"{self.bits.get(index, 0):x}"
+    def encode_chunk(self, index: int) -> str:
+        """Return the completed tasks of one chunk as a hexadecimal bitmap."""
+        return f"{self.done_bitmaps.get(index, 0):x}"
 
     def load_chunk(self, index: int, text: str) -> None:
-        self.bits[index] = bits = int(text, 16)
+        self.done_bitmaps[index] = bits = int(text, 16)
         low = index * c.CHUNK_TASKS
         self.done.update(low + i for i in range(bits.bit_length()) if bits >> i & 1)
 
@@ -283,29 +296,34 @@
     epoch: int = 0
     owner: str = ""
     placements: dict[tuple[str, int, int], Placement] = {}
-    clearing: set[tuple[str, int, int]] = set()  # ends not committed yet
+    uncommitted_ends: set[tuple[str, int, int]] = (
+        set()
+    )  # ended attempts whose end is not committed yet
     cpus: float = 0.0
     accelerators: float = 0.0
     ram_gb: float = 0.0
     up: bool = False
-    heard: float = 0.0  # when a report last came
-    vouched: float = 0.0  # when a node that cannot be asked last told that it hears it
-    back_at: float = -1e9  # when it was first heard after a silence
-    answered: float = 0.0
-    born: float = 0.0
+    last_report_at: float = 0.0  # time of the last report
+    # Time at which a node that the leader cannot query last announced that it receives reports.
+    last_vouched_at: float = 0.0
+    resumed_at: float = -1e9  # time of the first report after a period of silence
+    last_answered_at: float = 0.0
+    known_since: float = 0.0
     idle_since: float | None = None
-    ends_at: float | None = None  # end announced by a spot notice
+    ends_at: float | None = None  # end announced by a spot termination notice
     returning: bool = False
-    silent: bool = False  # it goes back for its silence alone, and stays if it is heard again
-    draining: bool = False  # its tasks move elsewhere, then it goes back
-    drained: bool = False  # by an operator's word, which outlives the leader
+    returning_for_silence: bool = (
+        False  # being returned only because it is silent; kept if it reports again
+    )
+    draining: bool = False  # its tasks are moved to other machines, then it is returned
+    drained: bool = False  # drained by an operator; recorded, so it survives a leader change
     suspect: bool = False
-    hearing: Hearing = msgspec.field(default_factory=Hearing)
-    failed_jobs: dict[str, int] = {}  # failures by job since a task last completed here
-    failed_at: float = -1e9  # when a task last failed here
+    answer_receipt: Hearing = msgspec.field(default_factory=Hearing)
+    failed_jobs: dict[str, int] = {}  # failures per job since a task last completed here
+    failed_at: float = -1e9  # time of the last task failure here
     images: OrderedDict[str, float] = msgspec.field(default_factory=OrderedDict)
-    speed: float = 1.0
-    speed_n: int = 0
+    slowdown: float = 1.0
+    slowdown_samples: int = 0
 
     def __post_init__(self) -> None:
         self.cpus = self.flavor.cpus
@@ -320,7 +338,7 @@
             and self.accelerators + eps >= spec.accelerators
         )
 
-    def take(self, spec: Spec) -> None:
+    def allocate(self, spec: Spec) -> None:
         self.cpus -= spec.cpus
         self.accelerators -= spec.accelerators
         self.ram_gb -= spec.ram_gb
@@ -330,12 +348,12 @@
             while sum(self.images.values()) > self.flavor.cache_gb and len(self.images) > 1:
                 self.images.popitem(last=False)
 
-    def give(self, spec: Spec) -> None:
+    def release(self, spec: Spec) -> None:
         self.cpus += spec.cpus
         self.accelerators += spec.accelerators
         self.ram_gb += spec.ram_gb
 
-    def allowed(self, spec: Spec) -> bool:
+    def allows(self, spec: Spec) -> bool:
         return (
             (spec.types is None or self.flavor.name in spec.types)
             and (spec.zone is None or spec.zone == self.zone)
@@ -343,26 +361,26 @@
         )
 
     @property
-    def newest(self) -> tuple[int, int]:
-        """Session and number of the newest report heard: no other report is evidence."""
+    def newest_report(self) -> tuple[int, int]:
+        """Session and counter of the newest report; older reports prove nothing."""
         return (self.tenure, self.counter)
 
     def record(self) -> list[Any]:
-        """What the store keeps: who may act on it and what may be running there."""
+        """Return the stored record: the owning node and the attempts that may be running."""
         jobs: dict[str, dict[int, list[int]]] = {}
         for p in self.placements.values():
             jobs.setdefault(p.job, {}).setdefault(p.number, []).append(p.task)
         tenure = min((p.tenure for p in self.placements.values()), default=self.tenure)
         tasks = {
-            job: [[number, ranges(tasks)] for number, tasks in numbers.items()]
+            job: [[number, encode_ranges(tasks)] for number, tasks in numbers.items()]
             for job, numbers in jobs.items()
         }
         row = [self.owner, self.address, self.flavor.name, self.zone, self.spot, tenure, tasks]
         return [*row, True] if self.drained else row
 
 
-def ranges(tasks: Any) -> list[int]:
-    """Task numbers as a flat list of starts and lengths."""
+def encode_ranges(tasks: Any) -> list[int]:
+    """Run-length encode task numbers as a flat list of starts and lengths."""
     flat: list[int] = []
     for task in sorted(tasks):
         if flat and flat[-2] + flat[-1] == task:
@@ -372,7 +390,8 @@
     return flat
 
 
-def unranges(flat: list[int]) -> list[int]:
+def decode_ranges(flat: list[int]) -> list[int]:
+    """Decode a list produced by `encode_ranges`."""
     return [
         task
         for start, length in zip(flat[::2], flat[1::2], strict=True)
--- a/coveflow/core/timeline.py
+++ b/coveflow/core/timeline.py
@@ -1,9 +1,9 @@
-"""When room falls free, by classes of machines instead of single ones.
+"""Predicts when capacity becomes free, for pools of machines instead of single machines.
 
-Machines of one type, zone and kind form a pool. A pool's future is cut into buckets; for every
-size of task that is asked for it knows how many such tasks the pool's machines could hold from
-each bucket on, by the guessed ends of what runs. Held room is subtracted from that. So a planned
-start costs by pools and buckets, not by machines and tasks.
+Machines of one type, zone and kind (spot or on-demand) form a pool. A pool's future is divided
+into time buckets. For every requested task size, the pool counts how many such tasks its machines
+could run from each bucket on, by the predicted ends of the running attempts, less reservations.
+The cost of a planned start thus depends on pools and buckets, not on machines and tasks.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 from coveflow.core.model import Machine, Spec
 
 EPS = 1e-6
-TRACE = 1e-9  # accelerators; an amount that bounds nothing
+TRACE_ACCELERATORS = 1e-9  # marks a size as accelerator work without limiting how many fit
 Size = tuple[float, float, float]  # CPUs, GB of memory, accelerators
 
 
-def fit(cpus: float, ram: float, acc: float, spec: Spec) -> int:
-    """How many tasks of the job fit into this much room."""
-    return fit_size(cpus, ram, acc, (spec.cpus, spec.ram_gb, spec.accelerators))
+def count_fitting(cpus: float, ram: float, acc: float, spec: Spec) -> int:
+    """Return how many tasks of the job fit into this capacity."""
+    return count_fitting_size(cpus, ram, acc, (spec.cpus, spec.ram_gb, spec.accelerators))
 
 
-def fit_size(cpus: float, ram: float, acc: float, size: Size) -> int:
+def count_fitting_size(cpus: float, ram: float, acc: float, size: Size) -> int:
     most = math.inf
     if size[0] > 0:
         most = (cpus + EPS) // size[0]
@@ -37,35 +37,39 @@
     return 1_000_000 if most == math.inf else max(0, int(most))
 
 
-def places(cpus: float, ram: float, acc: float, spec: Spec) -> int:
-    """How many tasks of the job one machine with this much room may have.
+def count_placeable(cpus: float, ram: float, acc: float, spec: Spec) -> int:
+    """Return how many tasks of the job one machine with this capacity may run.
 
-    With what fits alone, 200 of 500 small tasks were thought to leave room for the rest.
+    A machine's record has a limited number of placements. Without that limit, a machine with 200
+    of 500 small tasks seemed to have capacity for the other 300.
     """
-    return min(fit(cpus, ram, acc, spec), c.MACHINE_PLACEMENTS)
+    return min(count_fitting(cpus, ram, acc, spec), c.MACHINE_PLACEMENTS)
 
 
 def size_of(spec: Spec, bound: bool = False) -> Size:
-    """A task's size. One `bound` to machines with accelerators counts among their work.
+    """Return a task's size.
 
-    It could go nowhere else, so the room kept for free accelerators is not kept from it.
+    A task `bound` to machines with accelerators is treated as accelerator work: it can run nowhere
+    else, so the capacity reserved for free accelerators must not be withheld from it.
     """
-    trace = TRACE if bound and spec.accelerators <= 0 else 0.0
+    trace = TRACE_ACCELERATORS if bound and spec.accelerators <= 0 else 0.0
     return (spec.cpus, spec.ram_gb, spec.accelerators + trace)
 
 
-def usable(cpus: float, ram: float, acc: float, size: Size, reserve: tuple[float, float]) -> int:
-    """How many tasks of this size one machine may have beside what runs there.
+def count_usable(
+    cpus: float, ram: float, acc: float, size: Size, reserve: tuple[float, float]
+) -> int:
+    """Return how many more tasks of this size one machine may run.
 
-    Free accelerators are left what their work will need.
+    For sizes without accelerators, the reserve of the free accelerators is subtracted first.
     """
     if size[2] <= 0 and acc > 0:
         cpus, ram = cpus - acc * reserve[0], ram - acc * reserve[1]
-    return min(fit_size(cpus, ram, acc, size), c.MACHINE_PLACEMENTS)
+    return min(count_fitting_size(cpus, ram, acc, size), c.MACHINE_PLACEMENTS)
 
 
-class Hold(msgspec.Struct, eq=False):
-    """Room in a pool kept for tasks of a job from a planned start to their guessed end."""
+class Reservation(msgspec.Struct, eq=False):
+    """Capacity of a pool reserved for tasks of a job, from planned start to predicted end."""
 
     start: float
     end: float
@@ -74,23 +78,23 @@
     job: str
 
 
-class Room(msgspec.Struct, eq=False):
-    """What a machine has free now, and what it gets back later."""
+class MachineCapacity(msgspec.Struct, eq=False):
+    """Free capacity of a machine, and the releases predicted for it."""
 
     machine: Machine
     cpus: float
     ram_gb: float
     accelerators: float
     slots: int
-    first: Size  # free when the pass began
-    reserve: tuple[float, float] = (0.0, 0.0)  # CPUs and GB kept beside each free accelerator
+    initial: Size  # free capacity at the start of the pass
+    reserve: tuple[float, float] = (0.0, 0.0)  # CPUs and GB reserved for each free accelerator
     releases: list[tuple[int, float, float, float]] = []
 
-    def fit(self, size: Size) -> int:
-        room = (self.cpus, self.ram_gb, self.accelerators)
-        return max(0, min(self.slots, usable(*room, size, self.reserve)))
+    def count_fitting(self, size: Size) -> int:
+        capacity = (self.cpus, self.ram_gb, self.accelerators)
+        return max(0, min(self.slots, count_usable(*capacity, size, self.reserve)))
 
-    def take(self, spec: Spec, count: int) -> None:
+    def allocate(self, spec: Spec, count: int) -> None:
         self.cpus -= spec.cpus * count
         self.ram_gb -= spec.ram_gb * count
         self.accelerators -= spec.accelerators * count
@@ -102,71 +106,76 @@
 
     def __init__(self, now: float, buckets: int, reserve: tuple[float, float] = (0.0, 0.0)) -> None:
         self.now, self.buckets, self.reserve = now, buckets, reserve
-        self.rooms: list[Room] = []
-        self.holds: list[Hold] = []
-        self.units: dict[Size, list[int]] = {}
-        self.left: dict[Size, list[int]] = {}  # the same less what is held or started
-        self.stale: dict[Size, tuple[int, int]] = {}  # buckets in which `left` is behind
-        # Work with accelerators and work without do not take each other's room: the reserve
-        # keeps them apart. Each sees what its own kind holds.
-        self.held = {
+        self.capacities: list[MachineCapacity] = []
+        self.reservations: list[Reservation] = []
+        self.fit_counts: dict[Size, list[int]] = {}
+        # The same, less reservations and started tasks.
+        self.available_counts: dict[Size, list[int]] = {}
+        # Bucket ranges in which those counts are outdated.
+        self.stale_ranges: dict[Size, tuple[int, int]] = {}
+        # Reserved amounts, for sizes without and with accelerators. The reserve separates the two,
+        # so a reservation of one kind does not reduce the capacity of the other.
+        self.reserved = {
             kind: ([0.0] * buckets, [0.0] * buckets, [0.0] * buckets) for kind in (False, True)
         }
 
     @property
     def zone(self) -> str:
-        return self.rooms[0].machine.zone
+        return self.capacities[0].machine.zone
 
-    def bucket(self, at: float) -> int:
+    def bucket_index(self, at: float) -> int:
         return math.ceil((at - self.now) / c.BUCKET_S - EPS)
 
-    def _units(self, size: Size) -> list[int]:
-        """Tasks of this size that fit from each bucket on, as the pass found the machines."""
-        known = self.units.get(size)
+    def _fit_counts(self, size: Size) -> list[int]:
+        """Return how many tasks fit from each bucket on, without reservations and new starts."""
+        known = self.fit_counts.get(size)
         if known is not None:
             return known
         steps = [0] * (self.buckets + 1)
-        if self.reserve == (0.0, 0.0) and size[2] <= 0 and self._bounded(size):
-            self._plain_steps(size, steps)
+        if self.reserve == (0.0, 0.0) and size[2] <= 0 and self._resources_limit_count(size):
+            self._accumulate_plain_steps(size, steps)
         else:
-            self._steps(size, steps)
+            self._accumulate_steps(size, steps)
         total = 0
         units = []
         for step in steps[:-1]:
             total += step
             units.append(total)
-        self.units[size] = units
+        self.fit_counts[size] = units
         return units
 
-    def _bounded(self, size: Size) -> bool:
-        """Whether no machine of the pool has room for as many tasks as it may have placements."""
-        flavor = self.rooms[0].machine.flavor
+    def _resources_limit_count(self, size: Size) -> bool:
+        """Whether a machine's resources always run out before its limit of placements."""
+        flavor = self.capacities[0].machine.flavor
         most = c.MACHINE_PLACEMENTS
         return size[0] * most > flavor.cpus and size[1] > 0
 
-    def _steps(self, size: Size, steps: list[int]) -> None:
-        for room in self.rooms:
-            cpus, ram, acc = room.first
-            have = usable(cpus, ram, acc, size, self.reserve)
+    def _accumulate_steps(self, size: Size, steps: list[int]) -> None:
+        for capacity in self.capacities:
+            cpus, ram, acc = capacity.initial
+            have = count_usable(cpus, ram, acc, size, self.reserve)
             steps[0] += have
-            for bucket, r_cpus, r_ram, r_acc in room.releases:
+            for bucket, r_cpus, r_ram, r_acc in capacity.releases:
                 cpus += r_cpus
                 ram += r_ram
                 acc += r_acc
-                got = usable(cpus, ram, acc, size, self.reserve)
+                got = count_usable(cpus, ram, acc, size, self.reserve)
                 if got > have:
                     steps[min(bucket, self.buckets)] += got - have
                     have = got
 
-    def _plain_steps(self, size: Size, steps: list[int]) -> None:
-        """The same where only CPUs and memory count: calls were most of a full pass's time."""
+    def _accumulate_plain_steps(self, size: Size, steps: list[int]) -> None:
+        """Do the same as `_accumulate_steps` where only CPUs and memory matter.
+
+        Inlined, since function calls took most of the time of a full pass.
+        """
         need_cpus, need_ram, _ = size
-        for room in self.rooms:
-            cpus, ram, _ = room.first
+        for capacity in self.capacities:
+            cpus, ram, _ = capacity.initial
             by_cpus, by_ram = (cpus + EPS) // need_cpus, (ram + EPS) // need_ram
             have = max(0, int(by_cpus if by_cpus < by_ram else by_ram))
             steps[0] += have
-            for bucket, r_cpus, r_ram, _ in room.releases:
+            for bucket, r_cpus, r_ram, _ in capacity.releases:
                 cpus += r_cpus
                 ram += r_ram
                 by_cpus, by_ram = (cpus + EPS) // need_cpus, (ram + EPS) // need_ram
@@ -176,18 +185,18 @@
                     have = got
 
     def available(self, size: Size) -> list[int]:
-        """Tasks that fit from each bucket on, beside all that is held."""
-        known = self.left.get(size)
+        """Return how many tasks fit from each bucket on beside all reservations."""
+        known = self.available_counts.get(size)
         if known is None:
-            known = self.left[size] = list(self._units(size))
+            known = self.available_counts[size] = list(self._fit_counts(size))
             self._subtract(size, known, 0, self.buckets)
-        elif size in self.stale:
-            self._subtract(size, known, *self.stale.pop(size))
+        elif size in self.stale_ranges:
+            self._subtract(size, known, *self.stale_ranges.pop(size))
         return known
 
     def _subtract(self, size: Size, left: list[int], low: int, high: int) -> None:
-        units = self.units[size]
-        cpus, ram, acc = self.held[size[2] > 0]
+        units = self.fit_counts[size]
+        cpus, ram, acc = self.reserved[size[2] > 0]
         for i in range(low, high):
             taken = 0
             if size[0] > 0 and cpus[i] > EPS:
@@ -198,44 +207,44 @@
                 taken = max(taken, math.ceil(acc[i] / size[2] - EPS))
             left[i] = units[i] - taken
 
-    def span(self, start: float, end: float) -> tuple[int, int]:
+    def bucket_range(self, start: float, end: float) -> tuple[int, int]:
         low = min(max(0, math.floor((start - self.now) / c.BUCKET_S + EPS)), self.buckets)
-        return low, min(max(low + 1, self.bucket(end)), self.buckets)
+        return low, min(max(low + 1, self.bucket_index(end)), self.buckets)
 
-    def _take(self, hold: Hold) -> None:
-        low, high = self.span(hold.start, hold.end)
-        kind = hold.size[2] > 0
-        for table, amount in zip(self.held[kind], hold.size, strict=True):
+    def _add_reserved(self, reservation: Reservation) -> None:
+        low, high = self.bucket_range(reservation.start, reservation.end)
+        kind = reservation.size[2] > 0
+        for table, amount in zip(self.reserved[kind], reservation.size, strict=True):
             if amount > 0:
-                change = amount * hold.count
+                change = amount * reservation.count
                 for i in range(low, high):
                     table[i] += change
-        # Worked out again when asked for: each size is one job's, and most are not asked again.
-        for size in self.left:
+        # Recomputed on demand: a size usually belongs to one job and is rarely requested again.
+        for size in self.available_counts:
             if (size[2] > 0) == kind:
-                old = self.stale.get(size)
+                old = self.stale_ranges.get(size)
                 span = (low, high) if old is None else (min(low, old[0]), max(high, old[1]))
-                self.stale[size] = span
+                self.stale_ranges[size] = span
 
-    def hold(self, hold: Hold) -> None:
-        self.holds.append(hold)
-        self._take(hold)
+    def add_reservation(self, reservation: Reservation) -> None:
+        self.reservations.append(reservation)
+        self._add_reserved(reservation)
 
-    def started(self, size: Size, count: int, end: float) -> None:
-        """Tasks that start in this pass take room until their guessed end."""
-        self._take(Hold(self.now, end, count, size, ""))
+    def add_started(self, size: Size, count: int, end: float) -> None:
+        """Subtract the capacity of tasks started in this pass until their predicted end."""
+        self._add_reserved(Reservation(self.now, end, count, size, ""))
 
 
-class ZoneRoom(msgspec.Struct, eq=False):
-    """How many tasks of one job each zone may still have, where that is bounded."""
+class ZoneLimit(msgspec.Struct, eq=False):
+    """Counts the tasks of one job per zone against an optional limit."""
 
-    most: float = math.inf
+    limit: float = math.inf
     used: dict[str, int] = {}
 
-    def left(self, zone: str) -> float:
-        return self.most - self.used.get(zone, 0)
+    def remaining(self, zone: str) -> float:
+        return self.limit - self.used.get(zone, 0)
 
-    def take(self, zone: str, count: int) -> None:
+    def add(self, zone: str, count: int) -> None:
         self.used[zone] = self.used.get(zone, 0) + count
 
 
@@ -243,34 +252,34 @@
     pools: Iterable[Pool],
     size: Size,
     left: int,
-    guess: float,
+    predicted_s: float,
     job: str,
     limit: int,
     caps: Mapping[str, int] | None = None,
-) -> list[tuple[Pool, Hold]]:
-    """The earliest starts, from the next bucket on, that leave other holds their room.
+) -> list[tuple[Pool, Reservation]]:
+    """Plan the earliest starts, from the next bucket on, that respect all reservations.
 
-    `caps`: how many of them each zone may take at the most; None where zones do not matter.
+    `caps` limits the number of these tasks in each zone; None if zones do not matter.
     """
-    width = max(1, math.ceil(guess / c.BUCKET_S - EPS))
-    tables = [(pool, list(pool.available(size))) for pool in pools if pool.rooms]
-    open_to = None if caps is None else dict(caps)
-    found: list[tuple[Pool, Hold]] = []
+    width = max(1, math.ceil(predicted_s / c.BUCKET_S - EPS))
+    tables = [(pool, list(pool.available(size))) for pool in pools if pool.capacities]
+    remaining_caps = None if caps is None else dict(caps)
+    found: list[tuple[Pool, Reservation]] = []
     for b in range(1, limit):
         for pool, table in tables:
             if table[b] <= 0:
                 continue
             count = min(left, min(table[b : b + width]))
-            if open_to is not None:
-                count = min(count, open_to.get(pool.zone, 0))
+            if remaining_caps is not None:
+                count = min(count, remaining_caps.get(pool.zone, 0))
             if count <= 0:
                 continue
-            if open_to is not None:
-                open_to[pool.zone] -= count
+            if remaining_caps is not None:
+                remaining_caps[pool.zone] -= count
             for i in range(b, min(b + width, len(table))):
                 table[i] -= count
             start = pool.now + b * c.BUCKET_S
-            found.append((pool, Hold(start, start + guess, count, size, job)))
+            found.append((pool, Reservation(start, start + predicted_s, count, size, job)))
             left -= count
             if left <= 0:
                 return found
@@ -281,26 +290,26 @@
     pools: list[Pool],
     size: Size,
     tasks: int,
-    guess: float,
+    predicted_s: float,
     job: str,
     limit: int,
     most_in_zone: float = math.inf,
-) -> list[tuple[Pool, Hold]]:
-    """The earliest time, from the next bucket on, at which these pools hold the whole gang."""
-    width = max(1, math.ceil(guess / c.BUCKET_S - EPS))
+) -> list[tuple[Pool, Reservation]]:
+    """Plan the earliest start, from the next bucket on, at which the pools fit the whole gang."""
+    width = max(1, math.ceil(predicted_s / c.BUCKET_S - EPS))
     tables = [(pool, pool.available(size)) for pool in pools]
     for b in range(1, limit):
         if sum(table[b] for _, table in tables if table[b] > 0) < tasks:
             continue
         left = tasks
-        zones = ZoneRoom(most_in_zone)
-        found: list[tuple[Pool, Hold]] = []
+        zones = ZoneLimit(most_in_zone)
+        found: list[tuple[Pool, Reservation]] = []
         for pool, table in tables:
-            count = min(left, min(table[b : b + width]), zones.left(pool.zone))
+            count = min(left, min(table[b : b + width]), zones.remaining(pool.zone))
             if count > 0:
-                zones.take(pool.zone, count)
+                zones.add(pool.zone, count)
                 start = pool.now + b * c.BUCKET_S
-                found.append((pool, Hold(start, start + guess, count, size, job)))
+                found.append((pool, Reservation(start, start + predicted_s, count, size, job)))
                 left -= count
         if left <= 0:
             return found
--- a/coveflow/daemon/agents.py
+++ b/coveflow/daemon/agents.py
@@ -142,6 +142,6 @@
         if self.owner.leading and not self.links.store_fresh(now):
             # Without the store it may be deposed and not know: its workers are not silent.
             for m in self.owner.book.machines.values():
-                if m.counter >= 0 and now - m.heard < self.lease_s:
-                    found[m.id] = HeardReport(now - m.heard, *m.newest)
+                if m.counter >= 0 and now - m.last_report_at < self.lease_s:
+                    found[m.id] = HeardReport(now - m.last_report_at, *m.newest_report)
         return found
--- a/coveflow/daemon/answers.py
+++ b/coveflow/daemon/answers.py
@@ -36,7 +36,7 @@
     ) -> None:
         held = Held(report, reply, 0.0, news, now)
         # Just heard again, its lease is about to end, and an answer that waits comes too late.
-        hasty = now - m.back_at < self.book.patience
+        hasty = now - m.resumed_at < self.book.patience
         if news and not hasty:
             # The commit of these ends will often bring the next run for the same worker.
             held.until = now + c.HOLD_ANSWER_S
@@ -56,8 +56,8 @@
         if not held.waits():
             return
         orders = self.orders(m, held.report)
-        m.answered = self.around.clock()
-        m.hearing.answered(held.report, orders, m.answered)
+        m.last_answered_at = self.around.clock()
+        m.answer_receipt.answered(held.report, orders, m.last_answered_at)
         held.give(self.around.answer(self.book.leading, orders))
 
     def orders(self, m: Machine, report: Report, peek: bool = False) -> list[Order]:
@@ -70,12 +70,12 @@
             p = m.placements.get(key)
             if t.state == "exited":
                 # An end is cleared only after its commit: the report is its only proof.
-                if p is None and key not in m.clearing:
+                if p is None and key not in m.uncommitted_ends:
                     orders.append(Order("clear", *key))
             elif p is None and self.inbox.cancelled(t.job):
                 orders.append(Order("stop", *key))  # whoever started it
             elif p is None:
-                if key not in m.clearing and report.epoch == self.book.leading:
+                if key not in m.uncommitted_ends and report.epoch == self.book.leading:
                     count = 0 if peek else self.unasked.due(self.around.clock())
                     if count:
                         log.warning(
@@ -88,19 +88,19 @@
         for p in m.placements.values():
             if p.committed and not p.stopping and p.key not in present:
                 job = self.book.jobs[p.job]
-                if p.tenure != m.tenure or job.may_have_run_unseen(p):
+                if p.tenure != m.tenure or job.may_have_run_unreported(p):
                     continue
                 if self.inbox.cancelled(p.job):
                     continue  # by whatever word: the book may hear of it a moment later
                 orders.append(Order("run", *p.key))
                 if not peek:
-                    if p.sent < 0:
+                    if p.sent_with_report < 0:
                         self.book.tell(
                             "told", job=p.job, task=p.task, number=p.number, machine=m.id
                         )
                         waited = self.around.clock() - p.placed_at
                         self.around.meters.span("placed to told", waited)
-                    p.sent = report.counter
+                    p.sent_with_report = report.counter
         return orders
 
     def flush(self, now: float) -> None:
@@ -122,13 +122,16 @@
                 # With the ends goes the next run: an answer sent between the commit of an end
                 # and the next pass left the room empty until the following report.
                 ready = (
-                    not m.clearing
+                    not m.uncommitted_ends
                     and machine not in book.dirty_machines
                     and book.passed_at >= held.since
                 )
             else:
                 ready = any(
-                    p.committed and not p.stopping and p.sent < held.report.counter and not p.state
+                    p.committed
+                    and not p.stopping
+                    and p.sent_with_report < held.report.counter
+                    and not p.state
                     for p in m.placements.values()
                 )
             if ready or now >= held.until:
--- a/coveflow/daemon/book.py
+++ b/coveflow/daemon/book.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from coveflow import constants as c
-from coveflow.core import demand, fleet, planner, scene
+from coveflow.core import demand, fleet, planner, planner_state
 from coveflow.core.estimates import Predictor
 from coveflow.core.model import Job, Machine, Placement
 from coveflow.daemon.around import Around
@@ -38,9 +38,11 @@
         self.rev = 0  # revision of the view that says so
         self.since = 0.0
         self.jobs: dict[str, Job] = {}
-        self.uses: OrderedDict[scene.Use, None] = OrderedDict()  # of accelerators, by recent jobs
-        self.demand: dict[str, demand.Demand] = {}  # for accelerators, by class
-        self.coming: dict[str, demand.Coming] = {}  # when jobs came, by class
+        self.uses: OrderedDict[planner_state.AcceleratorUse, None] = (
+            OrderedDict()
+        )  # of accelerators, by recent jobs
+        self.demand: dict[str, demand.DemandTracker] = {}  # for accelerators, by class
+        self.coming: dict[str, demand.ArrivalTracker] = {}  # when jobs came, by class
         self.machines: dict[str, Machine] = {}
         self.unheard: set[str] = set()  # machines on record that did not report in this lead
         self.fleet = fleet.Fleet()
@@ -83,7 +85,7 @@
         if job is None:
             job = self._add_job(entry)
         job.rev = max(job.rev, entry.rev)
-        job.awaits_row = entry.told
+        job.awaits_cancel_record = entry.told
         if entry.outcome:
             job.outcome = entry.outcome
             self._unhold(job)
@@ -100,9 +102,9 @@
         if not repeat:
             # A spot machine may be taken at any time, and this work may not begin anew.
             spec = msgspec.structs.replace(spec, spot=False)
-        job = Job(spec, entry.at, entry.rev, seen_at=self.around.clock(), repeat=repeat)
+        job = Job(spec, entry.at, entry.rev, seen_at=self.around.clock(), may_repeat=repeat)
         job.rider = entry.rider
-        job.refill()
+        job.recompute_pending()
         self.jobs[job.id] = job
         self.arrivals = True
         self._asked(job)
@@ -121,18 +123,20 @@
 
     def _cancel(self, job: Job, at: float) -> None:
         job.cancelled = at
-        log.info("job cancelled", job=job.id, tasks_to_end=len(job.placed), waiting=len(job.free))
+        log.info(
+            "job cancelled", job=job.id, tasks_to_end=len(job.placed), waiting=len(job.pending)
+        )
         self.tell("cancelled", job=job.id)
         for p in job.placed.values():
             self.stop(p, 0.0, "its user cancelled it")
-        if job.over:
+        if job.is_finished:
             self.dirty_jobs[job.id] = None
 
     def accepted_fields(self, job: Job) -> dict[str, Any]:
         """What the trace has of a job: all its user said, and when."""
         return {
             "job": job.id,
-            "at": job.arrived,
+            "at": job.accepted_at,
             "spec": msgspec.to_builtins(job.spec),
             "cancelled": job.cancelled,
         }
@@ -149,16 +153,16 @@
         self.wake(p.machine)
 
     def _asked(self, job: Job) -> None:
-        came = self.around.clock() - max(0.0, self.around.wall() - job.arrived)
-        self.coming.setdefault(job.spec.workload, demand.Coming()).add(came)
-        use = scene.use_of(job.spec)
+        came = self.around.clock() - max(0.0, self.around.wall() - job.accepted_at)
+        self.coming.setdefault(job.spec.workload, demand.ArrivalTracker()).add(came)
+        use = planner_state.accelerator_use(job.spec)
         if use is None:
             return
         self.uses[use] = None
         self.uses.move_to_end(use)
         if len(self.uses) > c.USES_KEPT:
             self.uses.popitem(last=False)
-        known = self.demand.setdefault(job.spec.workload, demand.Demand())
+        known = self.demand.setdefault(job.spec.workload, demand.DemandTracker())
         known.add(job.spec, came)
 
     def end(self, p: Placement, done: bool, why: str, saved: bool = False) -> None:
@@ -173,18 +177,18 @@
             job.mark_done(p.task)
         else:
             # Numbers up to this one are spent: a cleared attempt must never be run again.
-            job.floor = max(job.floor, p.number)
+            job.last_attempt_number = max(job.last_attempt_number, p.number)
             self._hold(job, p, why)
         self._tell_end(p, done, why, saved)
         self._dirty_task(job, p.task)
         self.dirty_machines[m.id] = None
-        if done and job.complete:
+        if done and job.is_complete:
             self._completed(job)
 
     def _free_room(self, p: Placement, m: Machine, job: Job) -> None:
         del m.placements[p.key]
-        m.give(job.spec)
-        m.clearing.add(p.key)
+        m.release(job.spec)
+        m.uncommitted_ends.add(p.key)
         job.attempts -= 1
         if job.placed.get(p.task) is p:
             del job.placed[p.task]
@@ -194,7 +198,7 @@
 
     def _tell_end(self, p: Placement, done: bool, why: str, saved: bool) -> None:
         if self.around.trace is not None:
-            ran = 0.0 if p.since is None else self.around.clock() - p.since
+            ran = 0.0 if p.running_since is None else self.around.clock() - p.running_since
             self.tell(
                 "ended", job=p.job, task=p.task, number=p.number, machine=p.machine, done=done,
                 why=why, saved=saved, ran_s=round(ran, 6),
@@ -218,7 +222,7 @@
         if done:
             # All of them, not only those still placed: a mate whose machine's lease ran out
             # between the end and its report once was to run again, alone, and never could.
-            job.free.clear()
+            job.pending.clear()
             for task in range(job.spec.tasks):
                 job.mark_done(task)
                 self._dirty_task(job, task)
@@ -262,7 +266,12 @@
         An attempt that was never told to its machine, was refused there, never started or never
         found its gang did nothing, so it may be made again like any other.
         """
-        if job.repeat or job.cancelled is not None or not p.told or why in NEVER_RAN:
+        if (
+            job.may_repeat
+            or job.cancelled is not None
+            or not p.run_may_have_been_sent
+            or why in NEVER_RAN
+        ):
             return
         job.held.add(p.task)
         self.held_due[job.id] = None
@@ -336,14 +345,14 @@
             self.dirty_chunks.setdefault(job.id, set()).add(task // c.CHUNK_TASKS)
 
     def _completed(self, job: Job) -> None:
-        if job.counted:
+        if job.run_time_observed:
             return  # each mate of a gang reports its end, and the histories count it once
-        job.counted = True
+        job.run_time_observed = True
         log.info(
             "all tasks done",
             job=job.id,
             tasks=job.spec.tasks,
-            after_s=self.around.wall() - job.arrived,
+            after_s=self.around.wall() - job.accepted_at,
         )
         if job.run_count and job.spec.kind != "service":
             self.predictor.observe(job.spec, job.run_sum / job.run_count)
@@ -372,7 +381,7 @@
 
     def heard_lately(self, m: Machine, now: float) -> bool:
         """Only a machine that this leader hears may be given work; its tenure is known."""
-        return m.up and m.counter >= 0 and now - m.heard < self.patience
+        return m.up and m.counter >= 0 and now - m.last_report_at < self.patience
 
     def gauge(self) -> str:
         """The fleet at this moment, for the log."""
@@ -380,7 +389,7 @@
         heard = [m for m in self.machines.values() if self.heard_lately(m, now)]
         total = sum(m.flavor.cpus for m in heard)
         free = sum(m.cpus for m in heard)
-        waiting = sum(len(job.free) for job in self.jobs.values() if job.cancelled is None)
+        waiting = sum(len(job.pending) for job in self.jobs.values() if job.cancelled is None)
         pulling = sum(p.state != "running" for m in heard for p in m.placements.values())
         scarce = ""
         for spot in (False, True):
--- a/coveflow/daemon/commands.py
+++ b/coveflow/daemon/commands.py
@@ -14,7 +14,7 @@
     KINDS,
     Flavor,
     Job,
-    Listed,
+    ListedMachine,
     Machine,
     Order,
     Placement,
@@ -141,16 +141,16 @@
 
 
 class CloudList(msgspec.Struct, eq=False):
-    rows: list[Listed]
+    rows: list[ListedMachine]
 
 
 class Rented(msgspec.Struct, eq=False):
-    want: fleet.Want
+    want: fleet.RentalRequest
     machines: list[str]
 
 
 class Refused(msgspec.Struct, eq=False):
-    want: fleet.Want
+    want: fleet.RentalRequest
 
 
 class Returned(msgspec.Struct, eq=False):
--- a/coveflow/daemon/commits.py
+++ b/coveflow/daemon/commits.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from coveflow import constants as c
-from coveflow.core.model import Job, Machine, ranges
+from coveflow.core.model import Job, Machine, encode_ranges
 from coveflow.daemon.around import Around
 from coveflow.daemon.book import Book
 from coveflow.daemon.commands import End, Release, Settled, Txn
@@ -90,16 +90,16 @@
             if job is None:
                 del book.dirty_jobs[name]
                 continue
-            if job.over and not job.finishing:
+            if job.is_finished and not job.finishing:
                 finish.append(job)
                 if not book.unsettled.get(name):
                     continue  # all its ends are committed: the final record says the rest
             chunks = book.dirty_chunks.get(name, set())
             whole = (
-                not job.floor
-                or book.records.values.get(FLOOR + name) == job.floor
-                or draft.add(FLOOR + name, job.floor)
-            ) and all(draft.add(f"{CHUNK}{name}/{i}", job.chunk(i)) for i in sorted(chunks))
+                not job.last_attempt_number
+                or book.records.values.get(FLOOR + name) == job.last_attempt_number
+                or draft.add(FLOOR + name, job.last_attempt_number)
+            ) and all(draft.add(f"{CHUNK}{name}/{i}", job.encode_chunk(i)) for i in sorted(chunks))
             # Before its machine's record gives the attempt up: a new leader must hold it too.
             held = name in book.held_due
             if held:
@@ -149,7 +149,7 @@
                 break
             # A final record guards the row of the cancellation, which is on its way: without it the
             # whole transaction failed, with starts that had nothing to do with it.
-            if self.book.unsettled.get(job.id) or job.awaits_row:
+            if self.book.unsettled.get(job.id) or job.awaits_cancel_record:
                 continue
             if not all(draft.add(item, None) for item in _items(job)):
                 break
@@ -157,7 +157,7 @@
         self._add_news_of_ends(txn)
 
     def _add_final_record(self, txn: Txn, job: Job) -> None:
-        status = "done" if job.complete and job.cancelled is None else "cancelled"
+        status = "done" if job.is_complete and job.cancelled is None else "cancelled"
         txn.guards[OLD + job.id] = 0
         txn.writes[OLD + job.id] = final_record(job, status)
         # Guarding the accepted record settles the race with a cancellation.
@@ -201,7 +201,7 @@
         for job, done in txn.done:
             job.done_committed = max(job.done_committed, done)
         for m, end in txn.ends:
-            m.clearing.discard(end.placement.key)
+            m.uncommitted_ends.discard(end.placement.key)
             self._settle_end(end)
         for job, tasks, command in txn.releases:
             self._released(job, tasks, command)
@@ -233,8 +233,8 @@
         """An operator's word is committed: it counts, and the operator hears so."""
         for task in tasks:
             self.book.tell("released", job=job.id, task=task, again=command.again)
-            if command.again and job.may_free(task):
-                job.free.append(task)
+            if command.again and job.may_be_placed(task):
+                job.pending.append(task)
         log.info("held tasks released", job=job.id, tasks=len(tasks), again=command.again)
         self.book.pass_due = True
         if not command.reply.done():
@@ -256,10 +256,10 @@
         if job is None:
             return
         book.unsettled[job.id] -= 1
-        if not end.done and job.may_free(task):
-            job.free.append(task)
+        if not end.done and job.may_be_placed(task):
+            job.pending.append(task)
             book.pass_due = True
-        if job.over:
+        if job.is_finished:
             book.dirty_jobs[job.id] = None
 
     def _conflict(self, txn: Txn, failed: list[str]) -> None:
@@ -315,7 +315,7 @@
     """A job's held and given-up tasks as ranges; None when there are none."""
     if not job.held and not job.given_up:
         return None
-    return [ranges(job.held), ranges(job.given_up)]
+    return [encode_ranges(job.held), encode_ranges(job.given_up)]
 
 
 def _items(job: Job) -> list[str]:
@@ -323,5 +323,5 @@
     return [
         FLOOR + job.id,
         HELD + job.id,
-        *(f"{CHUNK}{job.id}/{index}" for index in sorted(job.bits)),
+        *(f"{CHUNK}{job.id}/{index}" for index in sorted(job.done_bitmaps)),
     ]
--- a/coveflow/daemon/direct.py
+++ b/coveflow/daemon/direct.py
@@ -36,7 +36,7 @@
         """Send the requests that are due; those with stops, and the longest due, first."""
         due: list[tuple[bool, float, str, DirectRequest]] = []
         for m in self.book.machines.values():
-            quiet_s = now - max(m.heard, m.hearing.came)
+            quiet_s = now - max(m.last_report_at, m.answer_receipt.came)
             if quiet_s <= self.late_s or m.id in self.book.drop:
                 self.contacts.pop(m.id, None)
                 continue
@@ -75,4 +75,4 @@
 
     def _doubtful(self, m: Machine, quiet_s: float, now: float) -> bool:
         """Whether its session should be over, and nobody told lately that it is there."""
-        return quiet_s > self.lease_s and now - m.vouched > self.lease_s / 2
+        return quiet_s > self.lease_s and now - m.last_vouched_at > self.lease_s / 2
--- a/coveflow/daemon/inbox.py
+++ b/coveflow/daemon/inbox.py
@@ -89,7 +89,7 @@
             log.error("machine types can't be read", why=error)
             return
         for flavor in flavors:
-            if not flavor.absurd():
+            if not flavor.invalid_field():
                 self.flavors.setdefault(flavor.name, flavor)
 
     def _job_row(self, name: str, value: Any, rev: int) -> None:
--- a/coveflow/daemon/keeper.py
+++ b/coveflow/daemon/keeper.py
@@ -6,9 +6,9 @@
 from typing import Any
 
 from coveflow import constants as c
-from coveflow.core import scene
-from coveflow.core.fleet import Want
-from coveflow.core.model import Listed, Machine, Placement
+from coveflow.core import planner_state
+from coveflow.core.fleet import RentalRequest
+from coveflow.core.model import ListedMachine, Machine, Placement
 from coveflow.core.zones import GONE, Seen, Zones
 from coveflow.daemon.around import Around
 from coveflow.daemon.book import Book
@@ -19,7 +19,7 @@
 log = Log("coveflow.owner")
 
 
-def want_fields(want: Want) -> dict[str, Any]:
+def want_fields(want: RentalRequest) -> dict[str, Any]:
     """What the trace has of a request for machines."""
     return {"type": want.flavor, "zone": want.zone, "spot": want.spot, "count": want.count}
 
@@ -28,7 +28,7 @@
     def __init__(self, around: Around, inbox: Inbox, book: Book) -> None:
         self.around, self.inbox, self.book = around, inbox, book
         self.params = around.settings.params
-        self.goals = scene.goals_of(self.params.objectives)
+        self.goals = planner_state.goals_by_class(self.params.objectives)
         workers = self.params.workers
         self.zones = Zones(workers.cancel_s - c.CONTACT_MARGIN_S + c.SILENT_MARGIN_S)
         self.ticked: float | None = None
@@ -40,19 +40,21 @@
         book, tuning = self.book, self.around.tuning
         book.fleet_due = False
         shut = self.zones.cut_off()
-        live = {name for name in self.goals if name in book.coming and book.coming[name].still(now)}
+        live = {
+            name for name in self.goals if name in book.coming and book.coming[name].is_active(now)
+        }
         machines = [m for m in book.machines.values() if m.zone not in shut]
         wants, returns = book.fleet.decide(
             now=now,
             machines=machines,
-            lacks=book.plan.lacks,
-            shut=shut,
+            shortages=book.plan.shortages,
+            excluded_zones=shut,
             flavors=list(self.inbox.flavors.values()),
             tuning=tuning,
             # After a take-over, machines that are up already have yet to report.
-            settled=book.leading == 1 or now - book.since > 3 * self.params.workers.report_s,
-            prompt=lambda job: book.jobs[job].spec.workload in live,
-            expected=bool(live),
+            fleet_known=book.leading == 1 or now - book.since > 3 * self.params.workers.report_s,
+            is_prompt=lambda job: book.jobs[job].spec.workload in live,
+            prompt_work_expected=bool(live),
         )
         for want in wants:
             book.tell("asked", **want_fields(want))
@@ -65,10 +67,14 @@
         book, cycle_s = self.book, self.around.tuning.cycle_s
 
         def left_s(p: Placement) -> float:
-            return scene.remaining(p.since, book.jobs[p.job].guess_s, now, p.overrun, cycle_s)
-
-        lacks = book.plan.lacks
-        for name in book.fleet.drains(now, machines, lacks, left_s, book.jobs.__getitem__):
+            return planner_state.remaining_run_time(
+                p.running_since, book.jobs[p.job].predicted_s, now, p.overrun, cycle_s
+            )
+
+        shortages = book.plan.shortages
+        for name in book.fleet.choose_drains(
+            now, machines, shortages, left_s, book.jobs.__getitem__
+        ):
             m = book.machines[name]
             m.draining = True
             log.info("machine drains", machine=name, tasks=len(m.placements))
@@ -90,7 +96,7 @@
         self.book.tell("drained" if command.on else "resumed", machine=m.id, why="an operator")
         for p in m.placements.values() if command.on else ():
             job = self.book.jobs[p.job]
-            if job.repeat and job.spec.kind == "array" and job.spec.checkpoint_s > 0:
+            if job.may_repeat and job.spec.kind == "array" and job.spec.checkpoint_s > 0:
                 self.book.stop(p, job.spec.save_s + 1.0, "its machine drains")
 
     def give_back(self, names: list[str], why: str) -> None:
@@ -115,7 +121,7 @@
         if silent:
             self.give_back(silent, "silent, or work on it does not end")
             for name in silent:
-                self.book.machines[name].silent = True
+                self.book.machines[name].returning_for_silence = True
         suspects = [
             m.id
             for m in self.book.machines.values()
@@ -126,7 +132,9 @@
         deaf = self._deaf(now)
         if deaf:
             self.give_back(deaf, "does not hear")
-        late = self.book.fleet.overdue(now, {f.name: f for f in self.inbox.flavors.values()})
+        late = self.book.fleet.pop_overdue_boots(
+            now, {f.name: f for f in self.inbox.flavors.values()}
+        )
         if late:
             self.give_back(late, "never came up")
 
@@ -207,7 +215,7 @@
         `taken`: its notice is over, so that the cloud has it back by now.
         """
         lease_s = self.params.workers.lease_s
-        quiet = now - max(m.heard, m.vouched, self.woke)
+        quiet = now - max(m.last_report_at, m.last_vouched_at, self.woke)
         if quiet > c.NOTICE_SILENT_S:  # hardly any is, and only those cost another look
             quiet = min(quiet, now - self.zones.heard_again(m.zone))
         if quiet <= c.NOTICE_SILENT_S:  # the shortest of all patiences
@@ -215,7 +223,7 @@
         late = quiet > (lease_s + c.SILENT_MARGIN_S if m.counter >= 0 else unheard_s)
         late = late and not self.zones.put_off(m.zone)
         late = late and not self._may_be_deaf(m, now, many_deaf)
-        return (late or taken) and not self.around.peer_hears(m.id, lease_s, m.newest)
+        return (late or taken) and not self.around.peer_hears(m.id, lease_s, m.newest_report)
 
     def _may_be_deaf(self, m: Machine, now: float, many_deaf: set[str]) -> bool:
         """Whether its reports come, though none shows that it was sent in this lead.
@@ -224,7 +232,7 @@
         reports again; it went back as silent a lease after a change of the lead, before the new
         leader could tell that it is deaf.
         """
-        hearing = m.hearing
+        hearing = m.answer_receipt
         if now - hearing.came >= self.book.patience:
             return False
         answered = now - hearing.at < c.DEAF_GIVE_UP_S  # and had no time yet to show that it heard
@@ -237,7 +245,7 @@
         With it how many may go back at a time.
         """
         machines = self.book.machines.values()
-        deaf = {m.id for m in machines if m.hearing.doubtful}
+        deaf = {m.id for m in machines if m.answer_receipt.doubtful}
         most = max(1, int(c.DEAF_PART * len(machines)))
         return (deaf if len(deaf) > most else set(), most)
 
@@ -248,9 +256,9 @@
             self.many_deaf_at = now
         wait_s = self.params.workers.lease_s * (c.DEAF_MANY_LEASES if many else c.DEAF_LEASES)
         deaf = [
-            (m.hearing.deaf_since, m.id, m.returning)
+            (m.answer_receipt.deaf_since, m.id, m.returning)
             for m in self.book.machines.values()
-            if m.hearing.deaf_since is not None
+            if m.answer_receipt.deaf_since is not None
         ]
         # The last of many to hear again were given back as if they had been few from the beginning.
         few_since = -math.inf if many else self.many_deaf_at
@@ -280,7 +288,7 @@
             if m.returning:
                 continue
             of = seen.setdefault(m.zone, Seen())
-            heard = max(m.heard, m.vouched)
+            heard = max(m.last_report_at, m.last_vouched_at)
             of.machines += 1
             of.quiet += now - heard > quiet_s
             of.last = max(of.last, heard)
@@ -302,7 +310,7 @@
         book.tell("returned", machine=name)
         if len(book.gone) > c.GONE_KEPT:
             book.gone.popitem(last=False)
-        book.fleet.gone(name)
+        book.fleet.mark_gone(name)
         m = book.machines.get(name)
         if m is None:
             return
@@ -315,7 +323,7 @@
         book.dirty_machines[name] = None
         book.pass_due = True
 
-    def listed(self, rows: list[Listed], now: float) -> None:
+    def listed(self, rows: list[ListedMachine], now: float) -> None:
         """The cloud's list: machines that failed go back, unknown ones are awaited."""
         book = self.book
         stray: list[str] = []
@@ -326,12 +334,12 @@
             if known is not None:
                 # A new leader counted the least that a machine costs from its own beginning: idle
                 # ones stayed for 45 s more after each change of the lead.
-                known.born = min(known.born, now - row.age_s)
+                known.known_since = min(known.known_since, now - row.age_s)
             if row.state == "failed":
                 if known is None or not known.returning:
                     stray.append(row.machine)
-            elif known is None and not book.fleet.knows(row.machine):
+            elif known is None and not book.fleet.is_booting(row.machine):
                 # Rented by an earlier leader, or by a request that took effect late.
-                book.fleet.found(row, now)
+                book.fleet.add_listed(row, now)
         if stray:
             self.give_back(stray, "failed")
--- a/coveflow/daemon/node.py
+++ b/coveflow/daemon/node.py
@@ -276,7 +276,7 @@
             return False
         return True
 
-    async def _rent(self, want: fleet.Want) -> None:
+    async def _rent(self, want: fleet.RentalRequest) -> None:
         """Ask under one fresh name until it is answered; a name is never used twice."""
         name = f"{self.settings.name}-{uuid.uuid4().hex}"
         log.info("asking for machines", what=want.label())
--- a/coveflow/daemon/owner.py
+++ b/coveflow/daemon/owner.py
@@ -187,7 +187,7 @@
             case Vouched():
                 for name in command.machines:
                     if name in self.book.machines:
-                        self.book.machines[name].vouched = self.around.clock()
+                        self.book.machines[name].last_vouched_at = self.around.clock()
             case PeerWord():
                 self._peer_word(command)
             case Confirmed():
@@ -210,13 +210,13 @@
             case CloudList():
                 self.keeper.listed(command.rows, now)
             case Rented():
-                book.fleet.rented(command.want, command.machines, now)
+                book.fleet.record_rented(command.want, command.machines, now)
                 book.fleet_due = True
                 book.tell("rented", **want_fields(command.want), machines=command.machines)
                 log.info("rented", what=command.want.label(), machines=command.machines)
             case Refused():
                 book.tell("refused", **want_fields(command.want))
-                book.fleet.refused(command.want, now)
+                book.fleet.record_refused(command.want, now)
                 book.fleet_due = True
             case Returned():
                 for machine in command.machines:
@@ -272,7 +272,7 @@
             raise
         # Last of all: with a part of its state a leader would start again what it forgot.
         book.leading, book.rev = command.epoch, command.rev
-        waiting = sum(len(job.free) for job in book.jobs.values() if job.cancelled is None)
+        waiting = sum(len(job.pending) for job in book.jobs.values() if job.cancelled is None)
         log.info(
             "leading", epoch=book.leading, jobs=len(book.jobs), machines=len(book.machines),
             waiting=waiting,
--- a/coveflow/daemon/planning.py
+++ b/coveflow/daemon/planning.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from coveflow import constants as c
-from coveflow.core import planner, scene
+from coveflow.core import planner, planner_state
 from coveflow.core.model import Job
 from coveflow.daemon.around import Around
 from coveflow.daemon.book import Book
@@ -28,7 +28,7 @@
         self.cycle_over = cycle_over  # renting goes by what a full cycle lacked
         params = around.settings.params
         self.teams = {team.name: team for team in params.teams}
-        self.goals = scene.goals_of(params.objectives)
+        self.goals = planner_state.goals_by_class(params.objectives)
         self.next_pass = 0.0
         self.next_cycle = self.next_full = 0.0
         self.last_cycle = self.last_regular = -math.inf
@@ -47,32 +47,34 @@
         predictor = self.book.predictor
         if job.run_count >= 3:
             guess_s = job.run_sum / job.run_count
-        elif job.guess_of != predictor.version:
-            job.guess_of = predictor.version
-            guess_s = predictor.guess(job.spec)
+        elif job.prediction_version != predictor.version:
+            job.prediction_version = predictor.version
+            guess_s = predictor.predict(job.spec)
         else:
             return
-        if self.around.trace is not None and abs(guess_s - job.told_guess_s) > (
-            c.GUESS_TOLD * job.told_guess_s
+        if self.around.trace is not None and abs(guess_s - job.traced_prediction_s) > (
+            c.GUESS_TOLD * job.traced_prediction_s
         ):
-            job.told_guess_s = guess_s
+            job.traced_prediction_s = guess_s
             self.book.tell("guess", job=job.id, guess_s=round(guess_s, 3))
-        job.guess_s = guess_s
+        job.predicted_s = guess_s
 
-    def _state(self, now: float, wall: float) -> scene.State:
+    def _state(self, now: float, wall: float) -> planner_state.PlannerState:
         book = self.book
-        return scene.State(
+        return planner_state.PlannerState(
             jobs=list(book.jobs.values()),
             machines=[m for m in book.machines.values() if book.heard_lately(m, now)],
             teams=self.teams,
             usage=book.usage(),
             now=now,
-            where={m.id: m.zone for m in book.machines.values()},
-            arrived={job.id: now - max(0.0, wall - job.arrived) for job in book.jobs.values()},
+            zone_by_machine={m.id: m.zone for m in book.machines.values()},
+            arrived_at={
+                job.id: now - max(0.0, wall - job.accepted_at) for job in book.jobs.values()
+            },
             goals=self.goals,
-            uses=frozenset(book.uses),
+            accelerator_uses=frozenset(book.uses),
             flavors=list(self.inbox.flavors.values()),
-            asked=[known.asked(now) for known in book.demand.values()],
+            class_demands=[known.estimate(now) for known in book.demand.values()],
         )
 
     def _pass(self, now: float, full: bool) -> None:
@@ -91,9 +93,9 @@
         plan = planner.plan(
             self._state(now, wall),
             tuning,
-            {job.id: job.guess_s for job in book.jobs.values()},
+            {job.id: job.predicted_s for job in book.jobs.values()},
             c.MACHINE_PLACEMENTS,
-            None if full else book.plan.holds,
+            None if full else book.plan.reservations,
         )
         if full:
             book.plan = plan
@@ -123,7 +125,7 @@
             m.idle_since = None
             book.dirty_machines[m.id] = None
             log.info("tasks placed", job=job.id, tasks=start.count, machine=m.id)
-        for name in plan.stops:
+        for name in plan.preempted_jobs:
             job = book.jobs[name]
             log.info("job stopped for more urgent work", job=name)
             job.preempted += 1
@@ -133,6 +135,6 @@
     def _grow_overruns(self, now: float) -> None:
         for m in self.book.machines.values():
             for p in m.placements.values():
-                guess = self.book.jobs[p.job].guess_s * m.speed
-                if p.since is not None and now - p.since > guess:
+                guess = self.book.jobs[p.job].predicted_s * m.slowdown
+                if p.running_since is not None and now - p.running_since > guess:
                     p.overrun += 1
--- a/coveflow/daemon/reports.py
+++ b/coveflow/daemon/reports.py
@@ -45,7 +45,7 @@
         if m is None:
             reply.set_result(None)
             return
-        if m.counter >= 0 and (report.tenure, report.counter) <= m.newest:
+        if m.counter >= 0 and (report.tenure, report.counter) <= m.newest_report:
             self._late(m, report, reply)
             return
         if report.tenure < m.tenure:
@@ -80,14 +80,16 @@
         if report.notice_s is not None:
             self._noticed(m, report.notice_s, now)
         news = self._tasks(m, report, now)
-        if m.returning and m.silent and alive:
+        if m.returning and m.returning_for_silence and alive:
             self._spare(m)
         self._drain(m, now)
         if not command.asked:
-            m.hearing.sent_away(report, now)
+            m.answer_receipt.sent_away(report, now)
             reply.set_result(None)
             return
-        patient = command.patient and not m.hearing.missed and not m.hearing.deaf and alive
+        patient = (
+            command.patient and not m.answer_receipt.missed and not m.answer_receipt.deaf and alive
+        )
         self.answers.answer_or_hold(m, report, reply, news, now, patient)
 
     def inspected(self, machine: str, report: Report) -> None:
@@ -101,16 +103,18 @@
             return
         if report.machine != machine or report.tenure < m.tenure:
             return
-        if m.counter >= 0 and (report.tenure, report.counter) <= m.newest:
+        if m.counter >= 0 and (report.tenure, report.counter) <= m.newest_report:
             return
         if m.counter < 0:
-            m.heard = min(m.heard, now - self.book.patience)  # no work until it reports
+            m.last_report_at = min(
+                m.last_report_at, now - self.book.patience
+            )  # no work until it reports
         if self._rose(m, report):
-            m.hearing.session_ended(self.params.workers.lease_s, now)
-        m.counter, m.epoch, m.vouched = report.counter, report.epoch, now
+            m.answer_receipt.session_ended(self.params.workers.lease_s, now)
+        m.counter, m.epoch, m.last_vouched_at = report.counter, report.epoch, now
         if self._tasks(m, report, now, absence=False):
             self.book.pass_due = True
-        if m.returning and m.silent:
+        if m.returning and m.returning_for_silence:
             self._spare(m)
 
     def _rose(self, m: Machine, report: Report) -> bool:
@@ -126,13 +130,13 @@
 
         Work placed by these once met a session that was over. A moment later it is given some.
         """
-        patience, since = self.book.patience, now - m.back_at
-        if rose or now - m.heard < patience or c.BACK_S <= since < patience:
-            m.heard = now
+        patience, since = self.book.patience, now - m.resumed_at
+        if rose or now - m.last_report_at < patience or c.BACK_S <= since < patience:
+            m.last_report_at = now
             return
-        m.vouched = now
+        m.last_vouched_at = now
         if since >= patience:
-            m.back_at = now
+            m.resumed_at = now
 
     def _late(self, m: Machine, report: Report, reply: asyncio.Future[bytes | None]) -> None:
         """No news of the machine, and nothing that another report waits for is touched.
@@ -142,7 +146,7 @@
         saw no answer, gets what that one gets.
         """
         held = self.book.held.get(m.id)
-        if held is not None and (report.tenure, report.counter) == m.newest:
+        if held is not None and (report.tenure, report.counter) == m.newest_report:
             held.again.append(reply)
             return
         # It may be no copy but a machine that counts from the beginning, whose lease this renews.
@@ -161,24 +165,26 @@
         m = book.machines[report.machine] = Machine(
             report.machine, report.address, flavor, report.zone, report.spot
         )
-        m.born = now
+        m.known_since = now
         if 0 < report.epoch < book.leading:
             # Machines that an earlier leader had given back were given work by their copies, which
             # waited for them to go back again. One that is there names this lead with its next.
-            m.heard, m.vouched = now - book.patience, book.since
-            m.back_at = now - c.BACK_S
+            m.last_report_at, m.last_vouched_at = now - book.patience, book.since
+            m.resumed_at = now - c.BACK_S
         else:
             # One that was rented in this lead and boots can't have been returned before it.
-            m.heard = now if book.fleet.knows(m.id) and not report.epoch else book.since
+            m.last_report_at = (
+                now if book.fleet.is_booting(m.id) and not report.epoch else book.since
+            )
         m.owner = self.around.settings.name
-        book.fleet.up(m.id, now)
+        book.fleet.mark_up(m.id, now)
         log.info("machine up", machine=m.id, type=m.flavor.name, zone=m.zone)
         book.tell("up", **machine_fields(m))
         return m
 
     def _listens(self, m: Machine, report: Report, rose: bool, asked: bool, now: float) -> None:
         """Whether what it is told reaches the machine; if not, what never began there goes on."""
-        hearing, lease_s = m.hearing, self.params.workers.lease_s
+        hearing, lease_s = m.answer_receipt, self.params.workers.lease_s
         if hearing.reported(report, rose, asked, lease_s, self.book.leading, now):
             log.warning(
                 "machine does not hear" if hearing.deaf else "machine hears again",
@@ -202,7 +208,7 @@
         jobs = self.book.jobs
         if any(jobs[p.job].cancelled is not None for p in m.placements.values()):
             return  # what is cancelled must be gone in time
-        m.returning = m.silent = False
+        m.returning = m.returning_for_silence = False
         log.info("machine stays", machine=m.id, why="heard again")
         self.book.tell("kept", machine=m.id)
         self.book.pass_due = True
@@ -239,16 +245,16 @@
                 p.state = t.state
                 self.book.fetched(p)
             p.state = t.state
-            if t.state == "running" and p.since is None:
-                p.since = now
+            if t.state == "running" and p.running_since is None:
+                p.running_since = now
                 self.book.tell("running", job=t.job, task=t.task, number=t.number, machine=m.id)
         for p in [p for p in m.placements.values() if absence and p.key not in seen]:
             # Absence proves that the run never started only if the worker has already taken
             # the current epoch (so no older leader's answer can still reach it) and this
             # report is newer than the one whose answer last carried the run.
-            if report.epoch != self.book.leading or report.counter <= p.sent:
+            if report.epoch != self.book.leading or report.counter <= p.sent_with_report:
                 continue
-            unsure = self.book.jobs[p.job].may_have_run_unseen(p)
+            unsure = self.book.jobs[p.job].may_have_run_unreported(p)
             if p.stopping or unsure:
                 news = True
                 self.book.end(p, False, ABSENT if unsure else "never started")
@@ -259,13 +265,13 @@
         done = why == "done"
         # A task that went on from a checkpoint ran only part of its work here.
         fresh = job.spec.checkpoint_s <= 0 or p.number == 1
-        if done and p.since is not None and fresh:
-            run_s = max(now - p.since, 0.1)
+        if done and p.running_since is not None and fresh:
+            run_s = max(now - p.running_since, 0.1)
             if job.run_count >= 5:
                 # Only a job whose own tasks were seen says something about a machine's speed.
-                m.speed_n += 1
+                m.slowdown_samples += 1
                 ratio = min(max(run_s * job.run_count / job.run_sum, 0.3), 4.0)
-                m.speed += (ratio - m.speed) / min(m.speed_n + 4, 20)
+                m.slowdown += (ratio - m.slowdown) / min(m.slowdown_samples + 4, 20)
             job.run_sum += run_s
             job.run_count += 1
         self.book.end(p, done, why, saved)
@@ -318,7 +324,7 @@
             return
         for p in m.placements.values():
             job = self.book.jobs[p.job]
-            if p.stopping or job.spec.checkpoint_s <= 0 or not job.repeat:
+            if p.stopping or job.spec.checkpoint_s <= 0 or not job.may_repeat:
                 continue
             # The notice may be half as long as announced, so saving starts by half time.
             if m.ends_at - now <= 2 * (job.spec.save_s + c.DRAIN_SPARE_S):
--- a/coveflow/daemon/restore.py
+++ b/coveflow/daemon/restore.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from coveflow.core.model import Job, Machine, Placement, unranges
+from coveflow.core.model import Job, Machine, Placement, decode_ranges
 from coveflow.daemon.book import Book
 from coveflow.daemon.inbox import Inbox
 from coveflow.logs import Log
@@ -79,9 +79,9 @@
     if job is None:
         return
     if kind == FLOOR:
-        job.floor = value
+        job.last_attempt_number = value
     elif kind == HELD:
-        job.held, job.given_up = set(unranges(value[0])), set(unranges(value[1]))
+        job.held, job.given_up = set(decode_ranges(value[0])), set(decode_ranges(value[1]))
 
 
 def _job_is_whole(book: Book, job: Job) -> None:
@@ -90,9 +90,9 @@
         for task in range(job.spec.tasks):
             job.mark_done(task)  # they complete together
     job.done_committed = len(job.done)
-    job.refill()
+    job.recompute_pending()
     book.fail_held(job)
-    if job.over:
+    if job.is_finished:
         book.dirty_jobs[job.id] = None
 
 
@@ -114,7 +114,7 @@
         raise Unreadable(f"machine {name} has an unknown type")
     m = Machine(name, address, flavor, zone, spot)
     m.owner, m.tenure = owner, tenure
-    m.heard = m.born = m.answered = now
+    m.last_report_at = m.known_since = m.last_answered_at = now
     m.up = True
     m.drained = m.draining = bool(drained)
     book.machines[name] = m
@@ -124,11 +124,11 @@
             log.error("a machine records a job that is over", machine=name, job=job_id)
             continue
         for number, flat in rows:
-            for task in unranges(flat):
+            for task in decode_ranges(flat):
                 p = Placement(job_id, task, number, name, m.tenure, committed=True, placed_at=now)
                 p.restored = True
                 m.placements[p.key] = p
-                m.take(job.spec)
+                m.allocate(job.spec)
                 job.attempts += 1
                 if task not in job.done or task not in job.placed:
                     job.placed[task] = p
--- a/coveflow/lab/choices.py
+++ b/coveflow/lab/choices.py
@@ -579,11 +579,11 @@
                 sorted(inbox.members), book.records.seq, list(book.dirty_machines),
                 list(book.dirty_jobs), node.returns, node.asked, book.pass_due,
                 round(node.owner.planning.next_pass, 3), round(node.owner.commits.next_commit, 3),
-                [[m.id, m.tenure, m.counter, m.epoch, m.up, m.returning, m.silent,
-                  sorted(m.clearing),
-                  [[*p.key, p.committed, p.stopping, p.sent, p.state]
+                [[m.id, m.tenure, m.counter, m.epoch, m.up, m.returning, m.returning_for_silence,
+                  sorted(m.uncommitted_ends),
+                  [[*p.key, p.committed, p.stopping, p.sent_with_report, p.state]
                    for p in m.placements.values()]] for m in book.machines.values()],
-                [[j.id, sorted(j.done), list(j.free), j.floor, j.cancelled]
+                [[j.id, sorted(j.done), list(j.pending), j.last_attempt_number, j.cancelled]
                  for j in book.jobs.values()],
                 [[w, call.op.kind, call.op.args, call.applied, str(call.outcome)]
                  for w in ("txn", "lead") if (call := getattr(node, w)) is not None],
--- a/coveflow/lab/cloud.py
+++ b/coveflow/lab/cloud.py
@@ -9,7 +9,7 @@
 import numpy as np
 
 from coveflow import constants as c
-from coveflow.core.model import Flavor, Listed
+from coveflow.core.model import Flavor, ListedMachine
 
 INF = math.inf
 Key = tuple[str, str, bool]  # type, zone, spot
@@ -216,7 +216,7 @@
         )  # fmt: skip
         return self.paid + there
 
-    def list(self, after: str, most: int, now: float) -> tuple[list[Listed], bool]:
+    def list(self, after: str, most: int, now: float) -> tuple[list[ListedMachine], bool]:
         """The machines as they were some lag ago, in the order of their names."""
         then = now - float(self.rng.uniform(self.lag_s, 2 * self.lag_s))
         rows = []
@@ -227,7 +227,7 @@
             if host.failed + DEAD_LISTED_S <= then:
                 state = "failed"
             rows.append(
-                Listed(name, host.address, host.flavor.name, host.zone, host.spot, state,
+                ListedMachine(name, host.address, host.flavor.name, host.zone, host.spot, state,
                        then - host.rented)
             )  # fmt: skip
         return rows[:most], len(rows) > most
--- a/coveflow/lab/planted.py
+++ b/coveflow/lab/planted.py
@@ -46,9 +46,9 @@
 
     def end(self: Book, p: Any, done: bool, why: str, saved: bool = False) -> None:
         job = self.jobs[p.job]
-        floor = job.floor
+        floor = job.last_attempt_number
         honest(self, p, done, why, saved)
-        job.floor = floor
+        job.last_attempt_number = floor
 
     return _patched(Book, "end", end)
 
@@ -59,11 +59,11 @@
     honest = Answers.orders
 
     def orders(self: Answers, m: Any, report: Any, peek: bool = False) -> Any:
-        held, m.clearing = m.clearing, set()
+        held, m.uncommitted_ends = m.uncommitted_ends, set()
         try:
             return honest(self, m, report, peek)
         finally:
-            m.clearing = held
+            m.uncommitted_ends = held
 
     def at_once(self: Answers, m: Any, report: Any, reply: Any, *_: Any) -> None:
         self.answer(m, Held(report, reply, 0.0, False))
@@ -88,7 +88,7 @@
 
     def silent(self: Keeper, now: float) -> list[str]:
         for m in self.book.machines.values():
-            if m.placements and now - m.heard >= SILENT_S:
+            if m.placements and now - m.last_report_at >= SILENT_S:
                 self.book.lost(m, "it is silent")
         return []
 
@@ -133,7 +133,7 @@
         used: dict[str, tuple[float, float]] = {}
         now = self.around.clock()
         for m in self.machines.values():
-            if now - m.heard >= SILENT_S:
+            if now - m.last_report_at >= SILENT_S:
                 continue
             for p in m.placements.values():
                 spec = self.jobs[p.job].spec
--- a/coveflow/net/cloud.py
+++ b/coveflow/net/cloud.py
@@ -9,7 +9,7 @@
 
 from coveflow import constants as c
 from coveflow import wire
-from coveflow.core.model import Flavor, Listed
+from coveflow.core.model import Flavor, ListedMachine
 from coveflow.logs import Log, Seldom
 from coveflow.net.http import Bucket, Client, Unavailable, Unsure
 from coveflow.net.meters import Meters
@@ -84,9 +84,9 @@
         if status != 200:
             raise Unavailable(f"cloud: return {status}")
 
-    async def machines(self) -> list[Listed]:
+    async def machines(self) -> list[ListedMachine]:
         """What can be read of the list; a row that is left out proves nothing of its machine."""
-        found: dict[str, Listed] = {}
+        found: dict[str, ListedMachine] = {}
         after: str | None = None
         while True:
             status, body = await self.call(
--- a/coveflow/tes/service.py
+++ b/coveflow/tes/service.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from coveflow.core.feasibility import Infeasible, allowed_types, placeable
+from coveflow.core.feasibility import Infeasible, allowed_types, fits_any_type
 from coveflow.daemon import commands as cm
 from coveflow.daemon.owner import Owner
 from coveflow.daemon.user_jobs import UserJobs, rider_of
@@ -196,7 +196,7 @@
         why: str | None = self.jobs.refusal(spec)
         if why is Infeasible.MACHINE:
             cpus_only = msgspec.structs.replace(spec, ram_gb=0.0, accelerators=0.0)
-            field = "ram_gb" if placeable(cpus_only, list(flavors.values())) else "cpu_cores"
+            field = "ram_gb" if fits_any_type(cpus_only, list(flavors.values())) else "cpu_cores"
             why = f"resources.{field}: {why}"
         if why:
             raise Refused(why if why.startswith("resources") else f"resources: {why}")
--- a/coveflow/whatif/simulate.py
+++ b/coveflow/whatif/simulate.py
@@ -14,7 +14,7 @@
 import numpy as np
 
 from coveflow.core.model import Flavor, Spec
-from coveflow.core.why import NOBODY, why_waits
+from coveflow.core.wait_reasons import NO_LEADER, wait_reason
 from coveflow.daemon.commands import Drain, Release
 from coveflow.lab.cloud import Boots, Cloud, Known
 from coveflow.lab.replies import Reply
@@ -441,7 +441,7 @@
         waiting: dict[str, int] = defaultdict(int)
         if leader is None:
             for job in live:
-                job.waits[NOBODY] = job.waits.get(NOBODY, 0.0) + SAMPLE_S
+                job.waits[NO_LEADER] = job.waits.get(NO_LEADER, 0.0) + SAMPLE_S
             # What is known of the queue is with the leader; it does not empty for want of one.
             last = self.samples[-1] if self.samples else {"used": 0.0, "waiting": {}}
             used, waiting = last["used"], last["waiting"]
@@ -449,8 +449,8 @@
             book = leader.book
             used = sum(m.flavor.cpus - m.cpus for m in book.machines.values())
             for job in book.jobs.values():
-                if job.free and job.cancelled is None:
-                    waiting[job.spec.workload] += len(job.free)
+                if job.pending and job.cancelled is None:
+                    waiting[job.spec.workload] += len(job.pending)
             if self.why:
                 self._reasons(leader)
         self.samples.append(sample | {"used": used, "waiting": dict(waiting)})
@@ -460,22 +460,22 @@
         machines = [m for m in book.machines.values() if book.heard_lately(m, now)]
         usage, teams = book.usage(), leader.planning.teams
         booting = {(b.flavor, b.zone, b.spot) for b in book.fleet.booting.values()}
-        booting |= set(book.fleet.asked)
+        booting |= set(book.fleet.pending_requests)
         known: dict[Any, str] = {}
         for job in book.jobs.values():
-            if job.cancelled is not None or (not job.free and not job.held):
+            if job.cancelled is not None or (not job.pending and not job.held):
                 continue
             spec = job.spec
             shape: Any = (
                 spec.team, spec.kind, spec.cpus, spec.accelerators, spec.ram_gb, spec.spot,
-                spec.zone, tuple(spec.types or ()), bool(job.free), bool(job.held),
+                spec.zone, tuple(spec.types or ()), bool(job.pending), bool(job.held),
                 spec.tasks if spec.kind == "gang" else 0,
             )  # fmt: skip
             if job.not_before > now:
                 shape = job.id
             if shape not in known:
-                known[shape] = why_waits(
-                    job, machines, teams, usage, leader.inbox.flavors, book.fleet.closed,
+                known[shape] = wait_reason(
+                    job, machines, teams, usage, leader.inbox.flavors, book.fleet.refused_until,
                     booting, now,
                 )  # fmt: skip
             why = known[shape]
--- a/coveflow/whatif/world.py
+++ b/coveflow/whatif/world.py
@@ -548,7 +548,7 @@
             return False
         if any(p.stopping or not p.committed or not p.state for p in m.placements.values()):
             return False
-        return not m.clearing
+        return not m.uncommitted_ends
 
     def deliver(self, post: Post, report: Report, sent: float, target: str) -> None:
         owner = self.owners.get(target)
--- a/coveflow/wire/__init__.py
+++ b/coveflow/wire/__init__.py
@@ -12,7 +12,16 @@
 import msgspec
 
 from coveflow import constants as c
-from coveflow.core.model import Flavor, Listed, Order, Report, Spec, TaskReport, ranges, unranges
+from coveflow.core.model import (
+    Flavor,
+    ListedMachine,
+    Order,
+    Report,
+    Spec,
+    TaskReport,
+    decode_ranges,
+    encode_ranges,
+)
 
 KINDS = {"array": "array", "gang": "gang", "standing": "service"}
 PRIORITIES = {"production": 3, "high": 2, "normal": 1, "low": 0}
@@ -264,7 +273,7 @@
         rows = jobs.setdefault(t.job, {})
         rows.setdefault((t.number, t.state, t.why, t.saved), []).append(t.task)
     tasks = {
-        job: [[*state, ranges(numbers)] for state, numbers in rows.items()]
+        job: [[*state, encode_ranges(numbers)] for state, numbers in rows.items()]
         for job, rows in jobs.items()
     }
     return [
@@ -293,7 +302,7 @@
     """Task numbers of starts and lengths; no more of them than a job may have."""
     if sum(flat[1::2]) > c.MAX_TASKS:
         raise Malformed("too many tasks")
-    return unranges(flat)
+    return decode_ranges(flat)
 
 
 def orders_answer(epoch: int, orders: list[Order]) -> bytes:
@@ -363,7 +372,7 @@
             boot_s=f.ready_s,
             zones=f.sites,
         )
-        fault = flavor.absurd()
+        fault = flavor.invalid_field()
         if fault:
             types.unread.append(f"{f.sku[: c.NAME_MOST]}: {fault}")
         else:
@@ -397,7 +406,7 @@
 class ListPage(msgspec.Struct):
     """A page of the cloud's machine list."""
 
-    machines: list[Listed]
+    machines: list[ListedMachine]
     has_next: bool
     unread: list[str]  # why rows were left out
 
@@ -415,7 +424,9 @@
             page.unread.append(f"{r.name_id[: c.NAME_MOST]}: name or age")
             continue
         page.machines.append(
-            Listed(r.name_id, r.endpoint or "", r.flavor, r.site, r.borrowed, r.status, r.held_s)
+            ListedMachine(
+                r.name_id, r.endpoint or "", r.flavor, r.site, r.borrowed, r.status, r.held_s
+            )
         )
     return page
 
--- a/coveflow/wire/far.py
+++ b/coveflow/wire/far.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from coveflow import wire
-from coveflow.core.model import Flavor, Listed, Order, Report, Spec
+from coveflow.core.model import Flavor, ListedMachine, Order, Report, Spec
 
 SHAPES = {ours: name for name, ours in wire.KINDS.items()}
 URGENCIES = {ours: name for name, ours in wire.PRIORITIES.items()}
@@ -138,7 +138,7 @@
     return wire.pack({"hosts": names})
 
 
-def list_body(rows: list[Listed], more: bool) -> bytes:
+def list_body(rows: list[ListedMachine], more: bool) -> bytes:
     hosts = [
         {
             "name_id": r.machine, "endpoint": r.address, "flavor": r.type, "site": r.zone,
--- a/tests/samples.py
+++ b/tests/samples.py
@@ -1,4 +1,4 @@
-"""Small builders that the tests share."""
+"""Builders of sample objects shared by the tests."""
 
 from typing import Any
 
--- a/tests/test_agents.py
+++ b/tests/test_agents.py
@@ -209,7 +209,7 @@
     agents.store.contact = 40.0
     agents.owner.book.leading = 3
     m = Machine("n-1", "", flavor(), "north", False)
-    m.counter, m.heard = 5, 49.0
+    m.counter, m.last_report_at = 5, 49.0
     agents.owner.book.machines["n-1"] = m
     assert agents.hears() == {"n-1": (1.0, 0, 5)}
 
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -382,7 +382,7 @@
 
 
 def test_a_good_record_of_histories_is_read():
-    assert restored([(sk.HISTORY, {"all": HISTORY_ROW}, 3)]).predictor.guess(spec()) == 30.0
+    assert restored([(sk.HISTORY, {"all": HISTORY_ROW}, 3)]).predictor.predict(spec()) == 30.0
     assert restored([(sk.HISTORY, {"all": HISTORY_ROW}, 3)]).predictor.histories["all"].mean == 5.0
 
 
@@ -429,7 +429,7 @@
         ),
     ),
     "types are taken as they come": (
-        Flavor, "absurd", lambda self: "", test_a_bad_type_is_left_out_and_hides_no_other,
+        Flavor, "invalid_field", lambda self: "", test_a_bad_type_is_left_out_and_hides_no_other,
     ),
     "a word is taken as it comes": (
         Word, "in_range", lambda self: True,
--- a/tests/test_roomindex.py
+++ b/tests/test_capacity_index.py
@@ -1,4 +1,4 @@
-"""Rooms by index: the same starts as from all options sorted, and few rooms looked at."""
+"""The capacity index gives the same starts as sorting all options, and examines few machines."""
 
 from unittest import mock
 
@@ -6,9 +6,9 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
-from coveflow.core import placing, planner, roomindex
+from coveflow.core import capacity_index, placement, planner
 from coveflow.core.model import Job, Machine
-from coveflow.core.scene import State
+from coveflow.core.planner_state import PlannerState
 from coveflow.settings import Team, Tuning
 from tests.samples import flavor, spec
 
@@ -29,12 +29,12 @@
             draw(st.booleans()),
         )
         one.up = True
-        one.speed = draw(st.sampled_from([0.9, 1.0, 1.04, 1.2]))
+        one.slowdown = draw(st.sampled_from([0.9, 1.0, 1.04, 1.2]))
         one.images.update(dict.fromkeys(draw(st.sets(st.sampled_from(IMAGES))), 1.0))
         one.ends_at = draw(st.sampled_from([None, None, None, 20.0]))
         if draw(st.booleans()):
             other = Job(spec(f"j-{900 + i:06d}", cpus=draw(st.sampled_from([1.0, 3.0]))), 0.0, 1)
-            other.refill()
+            other.recompute_pending()
             other.place(one, 0.0)
         found.append(one)
     return found
@@ -60,49 +60,51 @@
             float(i),
             1,
         )
-        one.refill()
+        one.recompute_pending()
         found.append(one)
     return found
 
 
-def starts(there: State, full: bool) -> list[tuple[str, str, int]]:
-    guesses = {job.id: 15.0 for job in there.jobs}
-    plan = planner.plan(there, Tuning(), guesses, SLOTS, None if full else {})
+def starts(planner_input: PlannerState, full: bool) -> list[tuple[str, str, int]]:
+    predictions = {job.id: 15.0 for job in planner_input.jobs}
+    plan = planner.plan(planner_input, Tuning(), predictions, SLOTS, None if full else {})
     return [(start.job, start.machine, start.count) for start in plan.starts]
 
 
-def sorted_options(job, size, there, eligible, leaving, guess):
-    """As it was: every room looked at, for every job."""
-    rooms = [room for key in eligible for room in there.pools[key].rooms]
-    return placing._sorted_options(job, size, [*rooms, *leaving], there.tight, guess)
+def sorted_options(job, size, view, eligible, leaving, predicted_s):
+    """Reference implementation: examines every machine for every job."""
+    capacities = [capacity for key in eligible for capacity in view.pools[key].capacities]
+    return placement._sorted_options(job, size, [*capacities, *leaving], view.tight, predicted_s)
 
 
-def state(found: list[Job], fleet: list[Machine]) -> State:
+def state(found: list[Job], fleet: list[Machine]) -> PlannerState:
     teams = {"blue": Team("blue")}
-    return State(found, fleet, teams, {}, 10.0, {job.id: job.arrived for job in found})
+    return PlannerState(found, fleet, teams, {}, 10.0, {job.id: job.accepted_at for job in found})
 
 
 @settings(
     derandomize=True, max_examples=120, deadline=None, phases=[Phase.explicit, Phase.generate]
 )
 @given(jobs(), machines(), st.booleans())
-def test_the_same_starts_as_from_all_options_sorted(found, fleet, full):
-    there = state(found, fleet)
-    by_index = starts(there, full)
-    with mock.patch.object(placing, "_lazy_options", sorted_options):
-        assert by_index == starts(there, full)
+def test_index_gives_the_same_starts_as_sorting_all_options(found, fleet, full):
+    planner_input = state(found, fleet)
+    by_index = starts(planner_input, full)
+    with mock.patch.object(placement, "_lazy_options", sorted_options):
+        assert by_index == starts(planner_input, full)
 
 
-def test_a_room_that_is_taken_and_not_moved_would_be_noticed(monkeypatch):
-    """Planted: the index forgets to move a room whose CPUs were taken."""
+def test_an_entry_that_is_not_moved_after_an_allocation_is_detected(monkeypatch):
+    """Injected fault: the index does not move the entry of a machine whose CPUs were allocated."""
     monkeypatch.setattr(
-        roomindex.RoomIndex, "take", lambda index, room, of, count: room.take(of, count)
+        capacity_index.CapacityIndex,
+        "allocate",
+        lambda index, capacity, spec, count: capacity.allocate(spec, count),
     )
     with pytest.raises((AssertionError, ExceptionGroup)):
-        test_the_same_starts_as_from_all_options_sorted()
+        test_index_gives_the_same_starts_as_sorting_all_options()
 
 
-def test_a_job_looks_at_the_rooms_that_it_takes():
+def test_a_job_examines_few_machines_beyond_those_it_takes():
     fleet = []
     for i in range(400):
         one = Machine(f"n-{i:06d}", "", FLAVORS[0], "north", False)
@@ -111,8 +113,8 @@
     found = []
     for i in range(50):
         one = Job(spec(f"j-{i:06d}", tasks=4), float(i), 1)
-        one.refill()
+        one.recompute_pending()
         found.append(one)
     plan = planner.plan(state(found, fleet), Tuning(), {}, SLOTS, {})
     assert sum(start.count for start in plan.starts) == 200
-    assert plan.steps <= 100  # 20,000 when each job looked at each room
+    assert plan.steps <= 100  # 20,000 if each job examines each machine
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -244,13 +244,13 @@
 
 def a_job_is_forgotten(monkeypatch) -> None:
     """The planner never gets to one job."""
-    honest = planner.order
+    honest = planner.rank_jobs
 
     def order(state, *others):
         jobs, urgent = honest(state, *others)
         return [job for job in jobs if job.id != "j-000002"], urgent
 
-    monkeypatch.setattr(planner, "order", order)
+    monkeypatch.setattr(planner, "rank_jobs", order)
 
 
 def test_a_world_in_which_a_job_waits_beside_room_fails(monkeypatch):
--- a/tests/test_combined.py
+++ b/tests/test_combined.py
@@ -26,20 +26,20 @@
 
 
 def limits_are_forgotten(monkeypatch) -> None:
-    monkeypatch.setattr(planner, "under_limit", lambda spec, count, usage, teams: count)
+    monkeypatch.setattr(planner, "count_within_limit", lambda spec, count, usage, teams: count)
 
 
 def zones_are_forgotten(monkeypatch) -> None:
-    monkeypatch.setattr(Machine, "allowed", lambda self, spec: True)
+    monkeypatch.setattr(Machine, "allows", lambda self, spec: True)
 
 
 def one_team_never_starts(monkeypatch) -> None:
-    honest = planner.start_now
+    honest = planner.choose_machines
 
     def start_now(job, *others):
         return [] if job.spec.team == "guest" else honest(job, *others)
 
-    monkeypatch.setattr(planner, "start_now", start_now)
+    monkeypatch.setattr(planner, "choose_machines", start_now)
 
 
 PLANTED = [
--- a/tests/test_feasibility.py
+++ b/tests/test_feasibility.py
@@ -1,6 +1,6 @@
-"""No job is accepted that cannot run, and none is refused that can.
+"""Every accepted job can run, and every rejected job cannot.
 
-An oracle of its own enumerates where tasks may be; a job that it lets run is run by the planner.
+An independent oracle enumerates all placements; a job that it accepts is run by the planner.
 """
 
 import asyncio
@@ -15,7 +15,15 @@
 from hypothesis import strategies as st
 
 from coveflow import constants as c
-from coveflow.core import estimates, feasibility, fleet, planner, scene, stopping, timeline
+from coveflow.core import (
+    estimates,
+    feasibility,
+    fleet,
+    planner,
+    planner_state,
+    preemption,
+    timeline,
+)
 from coveflow.core.feasibility import Infeasible, allowed_types, infeasible
 from coveflow.core.model import Flavor, Job, Machine, Spec
 from coveflow.lab import site as sites
@@ -60,12 +68,12 @@
         ({"image_gb": 30.0, "cpus": 3.0}, Infeasible.IMAGE),  # the type with the disk is too small
         ({"image_gb": 30.0, "zone": "a"}, Infeasible.IMAGE),
         ({"spread": True, "kind": "gang"}, None),
-        ({"spread": True, "kind": "gang", "one_zone": True}, Infeasible.SCATTER),
+        ({"spread": True, "kind": "gang", "one_zone": True}, Infeasible.SPREAD),
         ({"spread": True, "kind": "gang", "one_zone": True, "tasks": 1}, None),
-        ({"spread": True, "kind": "gang", "tasks": 2, "zone": "a"}, Infeasible.SCATTER),
-        ({"spread": True, "kind": "service", "tasks": 2, "zone": "a"}, Infeasible.SCATTER),
-        ({"spread": True, "kind": "gang", "types": ["deep"]}, Infeasible.SCATTER),
-        ({"spread": True, "kind": "gang", "image_gb": 30.0}, Infeasible.SCATTER),
+        ({"spread": True, "kind": "gang", "tasks": 2, "zone": "a"}, Infeasible.SPREAD),
+        ({"spread": True, "kind": "service", "tasks": 2, "zone": "a"}, Infeasible.SPREAD),
+        ({"spread": True, "kind": "gang", "types": ["deep"]}, Infeasible.SPREAD),
+        ({"spread": True, "kind": "gang", "image_gb": 30.0}, Infeasible.SPREAD),
         # An array's tasks may run one after another.
         ({"spread": True, "tasks": 9, "zone": "a", "one_zone": True}, None),
         ({"spread": True, "tasks": 9, "types": ["deep"]}, None),
@@ -78,12 +86,12 @@
         ({"kind": "gang", "tasks": 100_000, "cpus": 0.0}, None),
     ],
 )
-def test_each_field_is_judged_by_what_is_known_beforehand(changes, why):
+def test_the_reason_of_a_rejection(changes, why):
     job = spec(**changes)
     assert infeasible(job, TEAM if job.team == TEAM.name else None, TYPES) is why
 
 
-def test_a_limit_of_nought_bounds_nothing():
+def test_a_limit_of_zero_means_no_limit():
     assert infeasible(spec(kind="gang", tasks=1000), Team("blue"), TYPES) is None
 
 
@@ -100,11 +108,11 @@
     assert allowed_types(spec(**changes), TYPES) == types
 
 
-# --- an oracle of its own ---------------------------------------------------------------
+# --- independent oracle -----------------------------------------------------------------
 
 
 def can_run(job: Spec, team: Team, types: list[Flavor]) -> bool:
-    """By trying every place for each of the tasks that have to run together."""
+    """Try every placement of the tasks that have to run together."""
     places = [
         (kind, zone)
         for kind in types
@@ -129,7 +137,7 @@
 
 
 def grid() -> list[Spec]:
-    """Every combination of a few values of each field that a refusal may hang on."""
+    """Every combination of a few values of each field that a rejection may depend on."""
     fields = {
         "kind": ["array", "gang", "service"], "tasks": [1, 2, 3], "spread": [False, True],
         "one_zone": [False, True], "zone": [None, "a", "b", "c"],
@@ -147,7 +155,7 @@
             assert (infeasible(job, team, TYPES) is None) == can_run(job, team, TYPES), job
 
 
-def test_what_is_refused_is_just_what_has_no_place():
+def test_exactly_the_jobs_without_any_placement_are_rejected():
     check_grid()
 
 
@@ -159,20 +167,20 @@
 @pytest.mark.parametrize(
     ("name", "bug"),
     [
-        ("_scatter_fails", lambda job, holding: False),
-        ("_scatter_fails", _one_zone_forgotten),
-        ("_scatter_fails", lambda job, holding: (
+        ("_spread_fails", lambda job, holding: False),
+        ("_spread_fails", _one_zone_forgotten),
+        ("_spread_fails", lambda job, holding: (
             job.spread and job.kind != "array" and job.tasks > 1
-            and (job.one_zone or job.zone is not None))),  # types of one zone forgotten
-        ("_at_once", lambda job: job.tasks),  # arrays refused that run in parts
-        ("_at_once", lambda job: 1),
-        ("_zones", lambda job, kind: set(kind.zones)),
-        ("holders", lambda job, kinds: list(kinds)),  # the image forgotten, and the zone
+            and (job.one_zone or job.zone is not None))),  # ignores types offered in one zone
+        ("_min_concurrent_tasks", lambda job: job.tasks),  # rejects arrays that can run in parts
+        ("_min_concurrent_tasks", lambda job: 1),
+        ("_allowed_zones", lambda job, kind: set(kind.zones)),
+        ("types_that_fit", lambda job, kinds: list(kinds)),  # ignores the image and the zone
         ("_over_limit", lambda job, team: False),
-        ("fits_type", lambda job, kind: kind.cpus >= job.cpus),  # allowed types forgotten
+        ("fits_type", lambda job, kind: kind.cpus >= job.cpus),  # ignores the allowed types
     ],
 )  # fmt: skip
-def test_the_oracle_notices_a_rule_that_is_wrong(monkeypatch, name, bug):
+def test_the_oracle_detects_a_wrong_rule(monkeypatch, name, bug):
     monkeypatch.setattr(feasibility, name, bug)
     with pytest.raises(AssertionError):
         check_grid()
@@ -210,35 +218,35 @@
 
 
 def runs(job: Spec, team: Team, kinds: list[Flavor]) -> bool:
-    """Whether the planner brings the job to its end, or keeps all of a service running."""
-    rooms = [(kind, zone) for kind in kinds for zone in kind.zones] * job.tasks
-    there = {
+    """Whether the planner completes the job, or starts all tasks of a service."""
+    offers = [(kind, zone) for kind in kinds for zone in kind.zones] * job.tasks
+    machines = {
         f"n-{i}": Machine(f"n-{i}", "", kind, zone, False, up=True)
-        for i, (kind, zone) in enumerate(rooms)
+        for i, (kind, zone) in enumerate(offers)
     }
     kept = Job(job, 0.0, 1)
-    kept.refill()
+    kept.recompute_pending()
     for turn in range(2 * job.tasks):
-        state = scene.State(
-            [kept], list(there.values()), {team.name: team}, {}, 10.0 * turn, {job.id: 0.0},
-            where={m.id: m.zone for m in there.values()}, flavors=kinds,
+        state = planner_state.PlannerState(
+            [kept], list(machines.values()), {team.name: team}, {}, 10.0 * turn, {job.id: 0.0},
+            zone_by_machine={m.id: m.zone for m in machines.values()}, flavors=kinds,
         )  # fmt: skip
         for start in planner.plan(state, Tuning(), {job.id: 5.0}, 200).starts:
             for _ in range(start.count):
-                kept.place(there[start.machine], state.now)
+                kept.place(machines[start.machine], state.now)
         if job.kind == "service":
             return len(kept.placed) == job.tasks
         for task, placed in list(kept.placed.items()):
             del kept.placed[task]
-            there[placed.machine].placements.clear()
-            there[placed.machine].give(job)
+            machines[placed.machine].placements.clear()
+            machines[placed.machine].release(job)
             kept.mark_done(task)
-    return kept.complete
+    return kept.is_complete
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(JOBS, TEAMS, st.lists(KINDS, min_size=1, max_size=3, unique_by=lambda kind: kind.name))
-def test_what_is_accepted_runs_and_what_is_refused_cannot(job, team, kinds):
+def test_accepted_jobs_run_and_rejected_jobs_cannot(job, team, kinds):
     accepted = infeasible(job, team, kinds) is None
     assert accepted == can_run(job, team, kinds)
     if accepted:
@@ -246,11 +254,11 @@
         assert runs(narrowed, team, kinds)
 
 
-# --- as users are told ------------------------------------------------------------------
+# --- responses to users -----------------------------------------------------------------
 
 
 class Writing(Keys):
-    """Also takes submissions."""
+    """A store that also accepts submissions."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -263,15 +271,15 @@
 
 
 def node(types: list[Flavor] = TYPES):
-    there = front(Writing())
-    there.teams = {"vision": TEAM}
-    there.owner.inbox.flavors.update({kind.name: kind for kind in types})
-    return there
+    frontend = front(Writing())
+    frontend.teams = {"vision": TEAM}
+    frontend.owner.inbox.flavors.update({kind.name: kind for kind in types})
+    return frontend
 
 
-def submit(there, body: bytes) -> int:
+def submit(frontend, body: bytes) -> int:
     try:
-        return asyncio.run(there.submit(body)).status
+        return asyncio.run(frontend.submit(body)).status
     except Unavailable:
         return 503
 
@@ -283,18 +291,18 @@
     return cbor2.dumps(FINE | changes)
 
 
-def test_a_user_is_told_what_the_protocol_says():
+def test_submissions_get_the_status_of_the_protocol():
     assert submit(node(), body()) == 201
     assert submit(node(), body(scatter=True, shape="gang")) == 422
     assert submit(node(), body(owner="nobody")) == 422
     assert submit(node(), body(pieces=0)) == 400
     assert submit(node(), b"\xff") == submit(node(), b"") == submit(node(), b"\x01") == 400
-    # Without types a node can't decide; what is malformed is so whatever they are.
+    # Without machine types a node cannot decide, but a malformed body is rejected regardless.
     assert submit(node([]), body()) == 503
     assert submit(node([]), body(pieces=0)) == 400
 
 
-def test_a_body_over_the_limit_is_refused_before_it_is_read():
+def test_a_body_over_the_limit_is_rejected_before_it_is_decoded():
     def told(size: int) -> int:
         request = Request("POST", "/work", {}, b"\x00" * size)
         return asyncio.run(node().handle(request)).status
@@ -306,31 +314,31 @@
 @given(
     st.sampled_from(sorted(FINE)), JUNK | st.sampled_from(["deep", "a", "b", 0, 9, 1e308, 5e-324])
 )
-def test_whatever_comes_gets_one_of_the_protocols_answers(name, junk):
-    there = node()
-    status = submit(there, body(**{name: junk}))
+def test_any_junk_value_gets_a_status_of_the_protocol(name, junk):
+    frontend = node()
+    status = submit(frontend, body(**{name: junk}))
     assert status in (201, 400, 422)
-    assert (status == 201) == bool(there.store.keys)
+    assert (status == 201) == bool(frontend.store.keys)
 
 
 @pytest.mark.parametrize("wrong", [{"pieces": 0}, {"owner": "nobody"}, {"size_gb": 1e6}])
-def test_a_known_id_is_looked_up_before_anything_is_refused(wrong):
-    """Accepted by an older build, or by another node before this one hears of it."""
-    there = node()
-    know(there, "j-000412", told=False)
-    assert submit(there, body(**wrong)) == 200
-    there.store.keys = {sk.OLD + "j-000412": ({"status": "done", "done": 4}, 9)}
-    there.owner.inbox.accepted.clear()
-    assert submit(there, body(**wrong)) == 200
-    there = node()
-    there.store.down = True
-    assert submit(there, body(**wrong)) == 503
+def test_a_known_id_is_looked_up_before_a_job_is_rejected(wrong):
+    """An older build may have accepted it, or another node of which this one has not heard yet."""
+    frontend = node()
+    know(frontend, "j-000412", told=False)
+    assert submit(frontend, body(**wrong)) == 200
+    frontend.store.keys = {sk.OLD + "j-000412": ({"status": "done", "done": 4}, 9)}
+    frontend.owner.inbox.accepted.clear()
+    assert submit(frontend, body(**wrong)) == 200
+    frontend = node()
+    frontend.store.down = True
+    assert submit(frontend, body(**wrong)) == 503
 
 
 def test_the_record_names_only_types_that_can_run_the_job():
-    there = node()
-    assert submit(there, body(flavors=["gone", "wide", "deep", "deep"], size_gb=30.0)) == 201
-    assert there.store.keys[sk.JOB + "j-000412"][0]["spec"]["types"] == ["deep"]
+    frontend = node()
+    assert submit(frontend, body(flavors=["gone", "wide", "deep", "deep"], size_gb=30.0)) == 201
+    assert frontend.store.keys[sk.JOB + "j-000412"][0]["spec"]["types"] == ["deep"]
 
 
 # --- whole controllers ------------------------------------------------------------------
@@ -363,12 +371,12 @@
     assert {world.checker.jobs[name].told for name in ("j-000005", "j-000006")} == {"done"}
 
 
-def test_what_could_never_run_is_refused_and_what_runs_in_parts_ends():
+def test_impossible_jobs_are_rejected_and_arrays_that_run_in_parts_end():
     check_bound_jobs(play_bound_jobs())
 
 
-def test_it_was_accepted_and_waited_for_ever(monkeypatch):
-    monkeypatch.setattr(feasibility, "_scatter_fails", lambda job, holding: False)
+def test_without_the_spread_rule_impossible_jobs_wait_forever(monkeypatch):
+    monkeypatch.setattr(feasibility, "_spread_fails", lambda job, holding: False)
     world = play_bound_jobs()
     for name in ("j-000001", "j-000002"):
         assert world.answers[name][0] == 201 and not world.checker.jobs[name].done
@@ -376,9 +384,9 @@
         check_bound_jobs(world)
 
 
-# --- accepted extremes, in a planning pass ----------------------------------------------
+# --- extreme values in a planning pass --------------------------------------------------
 
-AMOUNTS_OF_A_MACHINE = ("cpus", "accelerators", "ram_gb")  # larger ones fit none
+AMOUNTS_OF_A_MACHINE = ("cpus", "accelerators", "ram_gb")  # larger values fit no machine
 NUMBERS = (*AMOUNTS_OF_A_MACHINE, "expected_s", "image_gb", "save_s", "deadline_s", "checkpoint_s")
 EXTREMES = [
     {name: value}
@@ -386,14 +394,16 @@
     for value in (0.0, 5e-324, 1e-12, 1.7e308)
     if value < 1.0 or name not in AMOUNTS_OF_A_MACHINE
 ]
-PASS_MOST_STEPS = 20_000  # machines and buckets that a pass may look at for these few machines
+PASS_MOST_STEPS = 20_000  # machines and buckets that a pass may examine for these few machines
 
 
 def plan_extremes(changes: dict) -> None:
-    """Several full and cheap passes over all sorts of such jobs, on machines that fill up."""
+    """Run full and cheap passes over all kinds of such jobs, on machines that fill up."""
     kinds = [WIDE, flavor("acc", cpus=8.0, accelerators=4.0, zones=["a", "b"])]
     machines = {
-        f"n-{i}": Machine(f"n-{i}", "", kinds[i % 2], "ab"[i // 2 % 2], False, up=True, speed=1.3)
+        f"n-{i}": Machine(
+            f"n-{i}", "", kinds[i % 2], "ab"[i // 2 % 2], False, up=True, slowdown=1.3
+        )
         for i in range(8)
     }
     sorts = [("array", 100_000), ("gang", 3), ("gang", 100_000), ("service", 2)]
@@ -402,39 +412,42 @@
     for i, ((kind, tasks), more) in enumerate(itertools.product(sorts, shared)):
         made = spec(f"j-{i}", kind=kind, tasks=tasks, priority=i % 4, **more | changes)
         jobs[made.id] = Job(made, 0.0, 1)
-        jobs[made.id].refill()
+        jobs[made.id].recompute_pending()
     predictor, team = estimates.Predictor(), Team("blue", cpus=4.0, cpus_max=1e4)
-    uses = frozenset(filter(None, (scene.use_of(job.spec) for job in jobs.values())))
+    uses = frozenset(
+        filter(None, (planner_state.accelerator_use(job.spec) for job in jobs.values()))
+    )
     holds = None
     for turn in range(4):
-        state = scene.State(
+        state = planner_state.PlannerState(
             list(jobs.values()), list(machines.values()), {"blue": team}, {}, 5.0 * turn,
-            dict.fromkeys(jobs, 0.0), where={m.id: m.zone for m in machines.values()},
-            flavors=kinds, uses=uses,
-            asked=[scene.Asked(job.spec, 1e5) for job in jobs.values()],
+            dict.fromkeys(jobs, 0.0), zone_by_machine={m.id: m.zone for m in machines.values()},
+            flavors=kinds, accelerator_uses=uses,
+            class_demands=[planner_state.ClassDemand(job.spec, 1e5) for job in jobs.values()],
         )  # fmt: skip
-        guesses = {name: predictor.guess(job.spec) for name, job in jobs.items()}
-        plan = planner.plan(state, Tuning(), guesses, 200, holds if turn % 2 else None)
-        holds = plan.holds if not turn % 2 else holds
+        predictions = {name: predictor.predict(job.spec) for name, job in jobs.items()}
+        plan = planner.plan(state, Tuning(), predictions, 200, holds if turn % 2 else None)
+        holds = plan.reservations if not turn % 2 else holds
         assert plan.steps < PASS_MOST_STEPS
         for start in plan.starts:
             for _ in range(start.count):
-                jobs[start.job].place(machines[start.machine], state.now).since = state.now
+                jobs[start.job].place(machines[start.machine], state.now).running_since = state.now
         for job in jobs.values():
             predictor.observe(job.spec, 7.0)
     assert all(math.isfinite(h.mean) for h in predictor.histories.values())
     fleet.Fleet().decide(
-        now=20.0, machines=list(machines.values()), lacks=plan.lacks, flavors=kinds,
-        tuning=Tuning(), settled=True, prompt=lambda job: False, expected=False, shut=set(),
+        now=20.0, machines=list(machines.values()), shortages=plan.shortages, flavors=kinds,
+        tuning=Tuning(), fleet_known=True,
+        is_prompt=lambda job: False, prompt_work_expected=False, excluded_zones=set(),
     )  # fmt: skip
 
 
-def test_a_pass_goes_through_whatever_is_accepted():
+def test_a_pass_completes_with_every_accepted_value():
     for changes in EXTREMES:
         plan_extremes(changes)
 
 
-def test_without_bounds_such_a_job_ends_every_pass(monkeypatch):
+def test_without_bounds_such_values_make_a_pass_fail(monkeypatch):
     monkeypatch.setattr(Spec, "_bound", lambda self, name, least, most: None)
     ended = []
     for changes in EXTREMES:
@@ -445,15 +458,15 @@
     assert {"cpus": 5e-324} in ended and {"expected_s": 5e-324} in ended
 
 
-# --- accepted jobs for which the right machines have to be rented ------------------------
+# --- jobs that need rented machines -----------------------------------------------------
 
-RENTED_S = 45.0  # s until it is done: best effort waits 8 s, a boot and the run take 10
+RENTED_S = 45.0  # s until the job ends: best effort waits 8 s, a boot and the run take 10 s
 SPREAD = dict(kind="gang", spread=True)
 TINY = dict(kind="gang", tasks=500, cpus=0.01, ram_gb=0.01)  # 800 fit, 200 may be placed
 
 
 def play_rented(changes: dict, north: int, south: int) -> None:
-    """Few machines are up, no spot machine can be had, and others keep those that are up."""
+    """Few machines are up and used by other jobs, and no spot machine is available."""
     text = site(("north", "south"), len(ZONES), 6)
     for zone, up in {"north": north, "south": south}.items():
         text = text.replace(f"{zone} (ordinary 6) (spot 0) (up 6)",
@@ -468,7 +481,7 @@
         assert not world.checker.broken and len(ended["j-000001"].done) == jobs[0].tasks
 
 
-UNBOUND = timeline.ZoneRoom()
+UNBOUND = timeline.ZoneLimit()
 RENTED = [(SPREAD, 6, 0), (TINY, 1, 1), (SPREAD | {"deadline_s": 60.0}, 6, 0)]
 
 
@@ -480,56 +493,63 @@
 @pytest.mark.parametrize(
     ("case", "module", "name", "bug"),
     [
-        (RENTED[0], fleet, "_stranded", lambda job, machines: False),
-        (RENTED[0], fleet, "half", lambda job: job.tasks),
-        (RENTED[1], fleet, "places", timeline.fit),
-        (RENTED[2], timeline, "ZoneRoom", lambda *_: UNBOUND),
+        (RENTED[0], fleet, "_fits_no_machine_up", lambda job, machines: False),
+        (RENTED[0], fleet, "max_tasks_per_zone", lambda job: job.tasks),
+        (RENTED[1], fleet, "count_placeable", timeline.count_fitting),
+        (RENTED[2], timeline, "ZoneLimit", lambda *_: UNBOUND),
     ],
 )
-def test_it_is_noticed_where_they_are_not(monkeypatch, case, module, name, bug):
+def test_a_wrong_rental_rule_is_detected(monkeypatch, case, module, name, bug):
     monkeypatch.setattr(module, name, bug)
     with pytest.raises(AssertionError):
         play_rented(*case)
 
 
-def test_a_service_spread_over_two_zones_is_not_rented_more_of_the_first():
+def test_a_spread_service_gets_machines_in_the_zone_that_may_take_more_tasks():
     up = [Machine("n-1", "", flavor(), "north", False, up=True)]
     service = spec(kind="service", spread=True, tasks=4, spot=False)
-    lack = planner.Lack(service, 2, False, 60.0, {"north": 2})
+    shortage = planner.Shortage(service, 2, False, 60.0, {"north": 2})
     wants, _ = fleet.Fleet().decide(
-        now=60.0, machines=up, lacks=[lack], flavors=[flavor()], tuning=Tuning(), settled=True
+        now=60.0,
+        machines=up,
+        shortages=[shortage],
+        flavors=[flavor()],
+        tuning=Tuning(),
+        fleet_known=True,
     )
     assert [want.zone for want in wants] == ["south"]
 
 
 def stops_for(**changes) -> planner.Plan:
-    """A gang of 8 meets 12 tasks of lower priority on two machines of one zone."""
+    """Plan a gang of 8 while 12 tasks of lower priority run on two machines in one zone."""
     up = [Machine(f"n-{i}", "", flavor(), "north", False, up=True) for i in range(2)]
     low = Job(spec("j-1", tasks=12, priority=0), 0.0, 1)
-    low.refill()
+    low.recompute_pending()
     for i in range(12):
         low.place(up[i // 6], 0.0)
     made = spec("j-2", kind="gang", tasks=8, priority=3, deadline_s=60.0, **changes)
     gang = Job(made, 0.0, 1)
-    gang.refill()
-    state = scene.State(
+    gang.recompute_pending()
+    state = planner_state.PlannerState(
         [low, gang], up, {"blue": Team("blue")}, {"blue": (12.0, 0.0)}, 10.0,
-        {"j-1": 0.0, "j-2": 0.0}, where={m.id: m.zone for m in up}, flavors=[flavor()],
+        {"j-1": 0.0, "j-2": 0.0}, zone_by_machine={m.id: m.zone for m in up}, flavors=[flavor()],
     )  # fmt: skip
     return planner.plan(state, Tuning(), {"j-1": 500.0, "j-2": 30.0}, 200)
 
 
-def test_nothing_is_stopped_for_a_gang_whose_other_half_has_no_room(monkeypatch):
-    """Victims all in one zone make room there for as many as may be in it, which it has."""
-    assert stops_for().stops == ["j-1"]
+def test_nothing_is_stopped_for_a_spread_gang_whose_other_half_fits_nowhere(monkeypatch):
+    """Stopping victims in one zone does not help, as the zone already fits half of the gang."""
+    assert stops_for().preempted_jobs == ["j-1"]
     plan = stops_for(spread=True)
-    assert plan.stops == [] and plan.lacks
-    monkeypatch.setattr(stopping, "_places", lambda job, fits, rooms: sum(fits.values()))
-    assert stops_for(spread=True).stops == ["j-1"]
+    assert plan.preempted_jobs == [] and plan.shortages
+    monkeypatch.setattr(
+        preemption, "_count_gang_tasks", lambda job, fits, capacities: sum(fits.values())
+    )
+    assert stops_for(spread=True).preempted_jobs == ["j-1"]
 
 
-def test_nothing_is_rented_for_what_an_older_build_accepted_in_vain(monkeypatch):
+def test_nothing_is_rented_for_impossible_jobs_accepted_by_older_builds(monkeypatch):
     plan = stops_for(spread=True, zone="north")
-    assert not (plan.starts or plan.stops or plan.lacks)
-    monkeypatch.setattr(planner, "scattered_in_vain", lambda job, kinds: False)
-    assert stops_for(spread=True, zone="north").lacks
+    assert not (plan.starts or plan.preempted_jobs or plan.shortages)
+    monkeypatch.setattr(planner, "spread_is_impossible", lambda job, kinds: False)
+    assert stops_for(spread=True, zone="north").shortages
--- a/tests/test_limits_meetings.py
+++ b/tests/test_limits_meetings.py
@@ -17,7 +17,7 @@
 
 from coveflow import constants as c
 from coveflow import wire
-from coveflow.core import placing, planner, stopping
+from coveflow.core import placement, planner, preemption
 from coveflow.core.cancellations import Cancellations
 from coveflow.core.model import Job, Spec
 from coveflow.daemon.book import Book
@@ -177,10 +177,10 @@
 
     def _could_start(self, book: Book, team: str, now: float) -> bool:
         waits = any(
-            j.spec.team == team and j.free and j.cancelled is None for j in book.jobs.values()
+            j.spec.team == team and j.pending and j.cancelled is None for j in book.jobs.values()
         )
         heard = [m for m in book.machines.values() if book.heard_lately(m, now)]
-        room = any(m.cpus >= 1.0 and not (m.returning or m.hearing.doubtful) for m in heard)
+        room = any(m.cpus >= 1.0 and not (m.returning or m.answer_receipt.doubtful) for m in heard)
         return waits and room and book.usage().get(team, (0.0, 0.0))[0] <= LIMIT - 1.0
 
     def play(self, how: str, for_s: float, cancel_s: float, change: str = "end") -> float:
@@ -630,7 +630,7 @@
         book, now = self.book(), self.world.now
         waiting = set() if book is None else {
             j.id for j in book.jobs.values()
-            if j.cancelled is None and j.free and j.not_before <= now and self._fits(book, j, now)
+            if j.cancelled is None and j.pending and j.not_before <= now and self._fits(book, j, now)
         }  # fmt: skip
         for name in set(self.since) - waiting:
             del self.since[name]
@@ -648,7 +648,7 @@
         rooms = dict.fromkeys(SIDES, 0)
         for m in book.machines.values():
             usable = book.heard_lately(m, now) and not (m.returning or m.draining or m.suspect)
-            if usable and not m.hearing.doubtful and m.allowed(spec) and m.fits(spec):
+            if usable and not m.answer_receipt.doubtful and m.allows(spec) and m.fits(spec):
                 rooms[m.zone] += int((m.cpus + 1e-6) // spec.cpus)
         if spec.one_zone:
             return any(n >= need for z, n in rooms.items() if not used or set(used) == {z})
@@ -695,9 +695,9 @@
 
 
 def test_bound_jobs_that_hold_room_they_may_not_use_are_noticed(monkeypatch):
-    for module in (placing, planner, stopping):
+    for module in (placement, planner, preemption):
         monkeypatch.setattr(
-            module, "open_zones", lambda spec, zones, there, most: dict.fromkeys(there, most)
+            module, "zone_limits", lambda spec, zones, there, most: dict.fromkeys(there, most)
         )
     with Bound("no room elsewhere") as scene:
         scene.world.run(200.0)
@@ -951,8 +951,8 @@
 
 def planted_deaf_are_silent(self, m, now, many_deaf) -> bool:
     """As it was: a new leader had to see a session rise, or two answers without effect."""
-    comes = now - m.hearing.came < self.book.patience
-    return comes and (m.id in many_deaf or m.hearing.trust > 0)
+    comes = now - m.answer_receipt.came < self.book.patience
+    return comes and (m.id in many_deaf or m.answer_receipt.trust > 0)
 
 
 def deaf_zone() -> Case:
--- a/tests/test_no_repeat.py
+++ b/tests/test_no_repeat.py
@@ -1,4 +1,4 @@
-"""Classes that allow no repeat: nothing that may have run ever begins anew without a word."""
+"""Classes with `repeat no`: a task that may have run is not retried without an operator."""
 
 from collections import Counter
 
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from coveflow import settings as s
-from coveflow.core import planner, scene
+from coveflow.core import planner, planner_state
 from coveflow.core.fleet import Fleet
 from coveflow.core.model import Job, Machine
 from coveflow.daemon.commands import Release
@@ -28,7 +28,8 @@
     runs = Counter()
 
     def seen(kind, row):
-        # Refused, fetching and waiting attempts did nothing, nor those whose result exists.
+        # Only running attempts count. Rejected, fetching and waiting ones had no effect, nor had
+        # attempts whose result exists already.
         if kind == "running":
             runs[(row["job"], row["task"])] += 1
 
@@ -39,11 +40,13 @@
 
 
 def lose_a_machine(world, job="j-000001"):
-    """The first machine that runs a task of the job dies; the tasks that ran there."""
+    """Fail the first machine that runs a task of the job; return the tasks that ran there."""
     leader = world.leader()
-    while not any(p.since for p in getattr(leader.book.jobs.get(job), "placed", {}).values()):
+    while not any(
+        p.running_since for p in getattr(leader.book.jobs.get(job), "placed", {}).values()
+    ):
         world.run(world.now + 0.1)
-    first = next(p for p in leader.book.jobs[job].placed.values() if p.since is not None)
+    first = next(p for p in leader.book.jobs[job].placed.values() if p.running_since is not None)
     worker = world.posts[first.machine].worker
     ran = {a.task for a in worker.tasks.values() if a.state == "running"}
     world.cloud.fail(first.machine, world.now)
@@ -62,9 +65,9 @@
     ran = lose_a_machine(world)
     world.run(60.0)
     job = world.leader().book.jobs["j-000001"]
-    assert job.held == ran and len(job.done) == 12 - len(ran) and not job.free
-    assert "j-000001" not in world.over, "its user goes on seeing it queued"
-    # Another leader holds it too, from the records.
+    assert job.held == ran and len(job.done) == 12 - len(ran) and not job.pending
+    assert "j-000001" not in world.over, "the user must still see the job as queued"
+    # A new leader restores the held tasks from the records.
     world.crash("a")
     world.at(3.0, lambda: world.elect("b"))
     world.run(90.0)
@@ -78,12 +81,12 @@
     assert {task for (_, task), n in runs.items() if n == 2} == ran
 
 
-def test_a_task_that_was_given_up_never_runs_and_its_job_is_never_called_over():
+def test_an_abandoned_task_never_runs_and_its_job_never_counts_as_done():
     world, runs = world_of(2, once("j-000001", tasks=12))
     ran = lose_a_machine(world)
     world.run(50.0)
     assert release(world, "j-000001", False)[0]["tasks"] == sorted(ran)
-    assert "error" in release(world, "j-000001", True)[0], "it holds none any more"
+    assert "error" in release(world, "j-000001", True)[0], "no task of the job is held any more"
     world.crash("a")
     world.at(3.0, lambda: world.elect("b"))
     world.run(120.0)
@@ -94,7 +97,7 @@
     assert world.ended == {"j-000001": "cancelled"}
 
 
-def test_the_same_loss_without_the_setting_is_made_up_for():
+def test_without_the_setting_lost_tasks_are_retried():
     world = World(1)
     world.at(0.5, lambda: world.submit(once("j-000001", tasks=12)))
     lose_a_machine(world)
@@ -107,8 +110,8 @@
     phases=[Phase.explicit, Phase.generate],
 )  # fmt: skip
 @given(st.integers(0, 10_000), FAULTS)
-def test_nothing_of_the_class_runs_twice_whatever_fails(seed, faults):
-    """Crashes, cuts, lost leases, take-overs: a second run needs an operator's word."""
+def test_no_task_of_the_class_runs_twice_under_faults(seed, faults):
+    """After crashes, partitions, lost leases and failovers, a second run needs an operator."""
     jobs = [
         once("j-000000", tasks=8), once("j-000001", tasks=5, cpus=2.0, deadline_s=20.0),
         once("j-000002", kind="gang", tasks=3, cpus=2.0, accelerators=1.0),
@@ -123,46 +126,48 @@
     leader = world.leader()
     for job in world.submitted:
         known = leader.book.jobs.get(job)
-        assert job in world.over or known.held, "only a held task keeps a job from its end"
+        assert job in world.over or known.held, "only a held task may keep a job from ending"
 
 
 @pytest.mark.parametrize("repeat", [False, True])
-def test_such_work_is_never_stopped_for_other_work(repeat):
-    victim = Job(spec("j-1", tasks=8, priority=0), 0.0, 1, repeat=repeat)
+def test_jobs_of_the_class_are_never_preempted(repeat):
+    victim = Job(spec("j-1", tasks=8, priority=0), 0.0, 1, may_repeat=repeat)
     urgent = Job(spec("j-2", cpus=8.0, tasks=1, deadline_s=30.0, priority=2), 4.0, 1)
     m = Machine("m", "", flavor(), "north", False)
     m.up, m.counter = True, 1
     for job in (victim, urgent):
-        job.refill()
-    while victim.free:
+        job.recompute_pending()
+    while victim.pending:
         p = victim.place(m, 0.0)
-        p.since, p.state = 0.0, "running"
+        p.running_since, p.state = 0.0, "running"
     jobs, teams = [victim, urgent], {"blue": s.Team("blue")}
-    state = scene.State(jobs, [m], teams, {}, 10.0, {j.id: j.arrived for j in jobs})
+    state = planner_state.PlannerState(
+        jobs, [m], teams, {}, 10.0, {j.id: j.accepted_at for j in jobs}
+    )
     plan = planner.plan(state, s.Tuning(), {"j-1": 500.0, "j-2": 10.0}, 200, None)
-    assert plan.stops == (["j-1"] if repeat else [])
+    assert plan.preempted_jobs == (["j-1"] if repeat else [])
 
 
 @pytest.mark.parametrize("repeat", [False, True])
-def test_such_work_is_never_moved_to_empty_a_machine(repeat):
+def test_jobs_of_the_class_are_never_moved_to_drain_a_machine(repeat):
     jobs = [
-        Job(spec("j-1", tasks=1, checkpoint_s=5.0, save_s=1.0), 0.0, 1, repeat=repeat),
+        Job(spec("j-1", tasks=1, checkpoint_s=5.0, save_s=1.0), 0.0, 1, may_repeat=repeat),
         Job(spec("j-2", tasks=1), 0.0, 1),
     ]
     machines = []
     for job, price in zip(jobs, (9.0, 0.1), strict=True):
         m = Machine(f"n-{job.id}", "", flavor(price=price), "north", False)
         m.up, m.counter = True, 1
-        job.refill()
+        job.recompute_pending()
         p = job.place(m, 0.0)
-        p.since, p.state = 0.0, "running"
+        p.running_since, p.state = 0.0, "running"
         machines.append(m)
     table = {job.id: job for job in jobs}
-    drained = Fleet().drains(200.0, machines, [], lambda p: 60.0, table.__getitem__)
+    drained = Fleet().choose_drains(200.0, machines, [], lambda p: 60.0, table.__getitem__)
     assert drained == (["n-j-1"] if repeat else [])
 
 
-def test_spot_machines_are_left_out_for_the_class_only():
+def test_only_the_class_is_kept_off_spot_machines():
     world, _ = world_of(3, once("j-000001", spot=True), spec("j-000002", spot=True))
     world.run(3.0)
     jobs = world.leader().book.jobs
@@ -178,12 +183,12 @@
         ("(coveflow (class once))", "class"),
     ],
 )
-def test_a_wrong_class_form_is_named(text, named):
+def test_the_error_names_the_wrong_part_of_a_class_form(text, named):
     with pytest.raises(s.SettingsError, match=named):
         s.parse_tuning(text)
 
 
-def test_a_node_that_does_not_lead_says_that_it_does_not_know():
+def test_a_follower_answers_none_to_a_release():
     world = World(1)
     answers = []
     world.owners["b"].work([Release("j-1", None, True, Reply(answers.append))])
@@ -191,8 +196,8 @@
 
 
 @pytest.mark.parametrize("first", [False, True])
-def test_what_a_machine_lost_before_a_take_over_is_not_told_to_it_again(first):
-    """It began again under its old session; the new leader sent the same attempts once more."""
+def test_a_new_leader_does_not_resend_attempts_lost_by_a_restarted_machine(first):
+    """The machine restarted under its old session, and the new leader sent the attempts again."""
     world, runs = world_of(1, once("j-000001", tasks=12))
     leader = world.leader()
     while not runs:
--- a/tests/test_room.py
+++ b/tests/test_spot_refused.py
@@ -1,4 +1,4 @@
-"""Best-effort work where the cloud refuses all spot machines: when it gets ordinary ones."""
+"""When best-effort work gets on-demand machines because the cloud refuses all spot machines."""
 
 import math
 
@@ -6,10 +6,10 @@
 
 from coveflow import constants as c
 from coveflow.core import fleet as fl
-from coveflow.core import placing
-from coveflow.core.fleet import Fleet, Want
+from coveflow.core import placement
+from coveflow.core.fleet import Fleet, RentalRequest
 from coveflow.core.model import Machine
-from coveflow.core.planner import Lack
+from coveflow.core.planner import Shortage
 from coveflow.lab import rooms, worlds
 from coveflow.lab import site as sites
 from coveflow.lab.virtual import World
@@ -18,7 +18,7 @@
 from tests.samples import flavor, spec
 
 M8 = flavor("m8", zones=["north"])
-SPOT, ORDINARY = ("m8", "north", True), ("m8", "north", False)
+SPOT, ON_DEMAND = ("m8", "north", True), ("m8", "north", False)
 
 
 def machine(name="n-1", spot=False):
@@ -27,79 +27,89 @@
     return found
 
 
-def lack(count=80, waited=300.0, begun=True, **changes):
+def shortage(count=80, waited_s=300.0, has_started=True, **changes):
     job = spec(tasks=count, **({"expected_s": 30.0} | changes))
-    return Lack(job, count, urgent=False, waited=waited, begun=begun)
+    return Shortage(job, count, urgent=False, waited_s=waited_s, has_started=has_started)
 
 
-def play(lacks, until=120.0, machines=None, answers=lambda now, want: 0, fleet=None):
-    """Decide each second, spot requests answered with so many machines; what was rented when."""
+def play(shortages, until=120.0, machines=None, answers=lambda now, want: 0, fleet=None):
+    """Run a decision each second; return the rentals with their times.
+
+    `answers` gives the number of machines granted to a spot request.
+    """
     fleet = fleet or Fleet()
     machines = [machine()] if machines is None else machines
-    rented: list[tuple[float, Want]] = []
+    rented: list[tuple[float, RentalRequest]] = []
     for now in map(float, range(int(until))):
         wants, _ = fleet.decide(
-            now=now, machines=machines, lacks=lacks(now) if callable(lacks) else lacks,
-            flavors=[M8], tuning=Tuning(), settled=True,
+            now=now, machines=machines,
+            shortages=shortages(now) if callable(shortages) else shortages,
+            flavors=[M8], tuning=Tuning(), fleet_known=True,
         )  # fmt: skip
         for want in wants:
             count = want.count if not want.spot else answers(now, want)
             if count:
-                fleet.rented(want, [f"{want.spot}-{now}-{i}" for i in range(count)], now)
+                fleet.record_rented(want, [f"{want.spot}-{now}-{i}" for i in range(count)], now)
                 rented.append((now, want))
             else:
-                fleet.refused(want, now)
+                fleet.record_refused(want, now)
     return rented
 
 
-def test_work_that_waits_for_long_gets_ordinary_machines_while_spot_is_refused():
-    """80 tasks of 30 s waited for one machine's 8 places: five minutes, and it was never helped."""
-    rented = play([lack()])
-    assert [want.key for _, want in rented] == [ORDINARY]
+def test_work_that_waits_for_long_gets_on_demand_machines_while_spot_is_refused():
+    """80 tasks of 30 s shared one machine with 8 slots for five minutes; nothing was rented."""
+    rented = play([shortage()])
+    assert [want.key for _, want in rented] == [ON_DEMAND]
     at, want = rented[0]
-    assert c.SPOT_REFUSED_S <= at <= c.SPOT_REFUSED_S + fl.REFUSED_S
-    # As many as let all of it begin within the time, what is up counted, and no more.
+    assert c.SPOT_REFUSED_S <= at <= c.SPOT_REFUSED_S + fl.REFUSAL_RETRY_S
+    # Just enough, together with the machine that is up, to start all tasks within the time.
     assert want.count == math.ceil(80 * 30.0 / c.BACKLOG_S / 8) - 1
 
 
 WAITS = {
-    "spot machines come": ([lack()], None, lambda now, want: want.count),
-    "some still come": ([lack()], None, lambda now, want: int(now % 45 < 16)),
-    "what there is serves it in time": ([lack(10)], None, lambda now, want: 0),
-    "it has not waited": ([lack(waited=c.SPOT_REFUSED_S - 1.0)], None, lambda now, want: 0),
-    "its turn comes on spot machines": ([lack()], [machine(spot=True)], lambda now, want: 0),
+    "spot requests are granted": ([shortage()], None, lambda now, want: want.count),
+    "some spot requests are granted": ([shortage()], None, lambda now, want: int(now % 45 < 16)),
+    "the machine that is up suffices": ([shortage(10)], None, lambda now, want: 0),
+    "the job has not waited long enough": (
+        [shortage(waited_s=c.SPOT_REFUSED_S - 1.0)],
+        None,
+        lambda now, want: 0,
+    ),
+    "a spot machine is up": ([shortage()], [machine(spot=True)], lambda now, want: 0),
 }
 
 
 @pytest.mark.parametrize("case", WAITS)
-def test_otherwise_it_waits_for_the_cheaper_ones(case):
-    lacks, machines, answers = WAITS[case]
-    assert all(want.spot for _, want in play(lacks, 120.0, machines, answers))
+def test_otherwise_only_spot_machines_are_rented(case):
+    shortages, machines, answers = WAITS[case]
+    assert all(want.spot for _, want in play(shortages, 120.0, machines, answers))
 
 
-def test_what_never_began_gets_them_even_where_spot_machines_are_all_in_use():
+def test_a_job_without_any_start_gets_on_demand_machines_even_if_spot_machines_are_up():
     for kind in ("gang", "array"):
-        job = lack(12, c.BEGIN_S, begun=False, kind=kind)
+        job = shortage(12, c.BEGIN_S, has_started=False, kind=kind)
         rented = play([job], machines=[machine(f"n-{i}", spot=True) for i in range(5)])
-        assert [(want.key, want.count) for _, want in rented] == [(ORDINARY, 2)]
-        begun = lack(12, c.BEGIN_S, kind=kind)
-        assert not play([begun], machines=[machine(f"n-{i}", spot=True) for i in range(5)])
+        assert [(want.key, want.count) for _, want in rented] == [(ON_DEMAND, 2)]
+        started_job = shortage(12, c.BEGIN_S, kind=kind)
+        assert not play([started_job], machines=[machine(f"n-{i}", spot=True) for i in range(5)])
 
 
-def test_a_gang_gets_room_for_all_its_tasks():
-    rented = play([lack(12, kind="gang", expected_s=60.0)], machines=[machine(), machine("n-2")])
-    assert not rented  # it fits on what is up
-    gangs = [lack(12, kind="gang", expected_s=60.0) for i in range(3)]
+def test_a_gang_gets_machines_for_all_its_tasks():
+    rented = play(
+        [shortage(12, kind="gang", expected_s=60.0)], machines=[machine(), machine("n-2")]
+    )
+    assert not rented  # it fits the machines that are up
+    gangs = [shortage(12, kind="gang", expected_s=60.0) for i in range(3)]
     rented = play(gangs, machines=[machine(), machine("n-2")])
     assert sum(want.count for _, want in rented) * 8 >= 12
 
 
-def test_refusals_of_long_ago_say_nothing():
+def test_old_refusals_do_not_count():
     fleet, refused = Fleet(), lambda now, want: 0
-    play([lack()], 40.0, fleet=fleet, answers=refused)
-    assert fleet.refused_from[SPOT] < 10.0
-    fleet.refused(Want(*SPOT, 1), 300.0)
-    assert fleet.refused_from[SPOT] == 300.0
+    play([shortage()], 40.0, fleet=fleet, answers=refused)
+    assert fleet.refused_since[SPOT] < 10.0
+    fleet.record_refused(RentalRequest(*SPOT, 1), 300.0)
+    assert fleet.refused_since[SPOT] == 300.0
 
 
 # --- whole controllers ----------------------------------------------------------------------
@@ -108,7 +118,7 @@
 
 
 def ended(spot: int = 0) -> float:
-    """s from the first job's coming until all have ended, with one machine up; INF if not."""
+    """Seconds from the first arrival until all jobs end, with one machine up; else infinity."""
     text = site(["north"], 1, 1, RUN_S, spot).replace("(ordinary 1)", "(ordinary 10)")
     with World(sites.parse(text, "test"), {"host-0": "north"}, 1, Tuning(homes=True)) as world:
         rooms.watch(world, 0.0)
@@ -125,27 +135,27 @@
         return world.now - 3.0 if over() else math.inf
 
 
-def test_without_spot_machines_one_machine_does_not_do_the_work_of_ten(monkeypatch):
-    """12 rounds of 20 to 30 s on the only machine, with nine more to be had."""
-    most = c.SPOT_REFUSED_S + fl.BEST_EFFORT_S + fl.REFUSED_S + c.BACKLOG_S + 2 * RUN_S
+def test_without_spot_machines_on_demand_machines_share_the_work(monkeypatch):
+    """One machine ran 12 rounds of 20 to 30 s, while nine more machines were available."""
+    most = c.SPOT_REFUSED_S + fl.BEST_EFFORT_WAIT_S + fl.REFUSAL_RETRY_S + c.BACKLOG_S + 2 * RUN_S
     assert ended() < most
-    monkeypatch.setattr(Fleet, "_owed", lambda self, lack, left, backlog: 0)
+    monkeypatch.setattr(Fleet, "_count_on_demand_tasks", lambda self, shortage, left, backlog: 0)
     assert ended() > most
 
 
 @pytest.mark.parametrize("seed", [125, 267, 363])
 def test_a_world_without_spot_machines_ends_all_its_work(monkeypatch, seed):
-    """World 125, as its site was when this was first seen: 12 jobs were left undone."""
+    """In a world without spot machines, 12 jobs never ended (first seen with seed 125)."""
     text = worlds.site
     monkeypatch.setattr(
         worlds, "site",
         lambda zones, nodes, machines, run_s, spot, limit: text(zones, nodes, machines, run_s, 0),
     )  # fmt: skip
-    told = worlds.play(worlds.meetings(seed))
-    assert not told.broken and not told.unfinished
+    outcome = worlds.play(worlds.meetings(seed))
+    assert not outcome.broken and not outcome.unfinished
 
 
-# --- room that is kept for others -------------------------------------------------------------
+# --- capacity that is kept for others ---------------------------------------------------------
 
 KEPT_SITE = """(lab (seed 1) (zones north) (controllers 1)
  (workers (report-s 2.5) (lease-s 15) (gang-wait-s 15) (gang-peer-s 3) (cancel-s 45))
@@ -161,7 +171,7 @@
 
 
 def beside_a_guarantee() -> set[str]:
-    """Jobs that run after 90 s, where a team uses a quarter of what it is guaranteed."""
+    """Return the jobs running after 90 s, while a team uses a quarter of its guarantee."""
     zones = {"host-0": "north"}
     with World(sites.parse(KEPT_SITE, "test"), zones, 1, Tuning(homes=True)) as world:
         rooms.watch(world, 0.0)
@@ -175,8 +185,8 @@
         return {job for job, _ in world.checker.live}
 
 
-def test_no_job_waits_beside_room_that_a_guarantee_keeps_empty(monkeypatch):
-    """CPUs beside accelerators that nobody used were kept while jobs waited for 90 s."""
+def test_no_job_waits_for_long_beside_unused_guaranteed_capacity(monkeypatch):
+    """CPUs reserved for unused accelerators stayed idle while jobs waited for 90 s."""
     assert len(beside_a_guarantee()) == 9
-    monkeypatch.setattr(placing, "LENT_S", math.inf)
+    monkeypatch.setattr(placement, "LENT_S", math.inf)
     assert len(beside_a_guarantee()) < 9
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -11,7 +11,7 @@
 
 from coveflow import constants as c
 from coveflow import wire
-from coveflow.core.model import Order, Report, TaskReport, ranges, unranges
+from coveflow.core.model import Order, Report, TaskReport, decode_ranges, encode_ranges
 
 GOOD = {
     "name_id": "j-000412", "workload": "train", "owner": "vision", "shape": "gang",
@@ -204,11 +204,11 @@
 @settings(derandomize=True, deadline=None)
 @given(st.sets(st.integers(0, 5000)))
 def test_ranges_keep_every_task(tasks):
-    assert set(unranges(ranges(tasks))) == tasks
+    assert set(decode_ranges(encode_ranges(tasks))) == tasks
 
 
 def test_the_worst_progress_record_fits_the_smallest_value():
-    flat = ranges(range(98_304, 99_328, 2))
+    flat = encode_ranges(range(98_304, 99_328, 2))
     assert len(str(flat)) < 8 * 1024
 
 
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from coveflow import constants as c
-from coveflow.core import placing, planner
+from coveflow.core import placement, planner
 from coveflow.daemon import commands as cm
 from coveflow.daemon.answers import Answers
 from coveflow.lab.replies import Reply
@@ -152,7 +152,7 @@
 
         def impatient():
             for m in list(owner.book.machines.values()):
-                if world.now - m.heard > 4.0:  # time alone stands in for a proof
+                if world.now - m.last_report_at > 4.0:  # time alone stands in for a proof
                     owner.keeper.gone(m.id, "silent")
             honest()
 
@@ -165,9 +165,9 @@
 
 def test_the_world_notices_a_gang_that_leaves_its_zone(monkeypatch):
     def anywhere(options, want, spec, spare):
-        return placing._fill(options, want, spec, spare, {})
+        return placement._take_options(options, want, spec, spare, {})
 
-    monkeypatch.setattr(placing, "_gang", anywhere)
+    monkeypatch.setattr(placement, "_choose_for_gang", anywhere)
     with pytest.raises(Broken, match="wrong_place"):
         for seed in range(20):
             world = World(seed)
@@ -176,9 +176,11 @@
 
 
 def test_the_world_notices_more_accelerators_than_the_limit(monkeypatch):
-    honest = planner.under_limit
+    honest = planner.count_within_limit
     monkeypatch.setattr(
-        planner, "under_limit", lambda spec, count, usage, teams: honest(spec, count, {}, teams)
+        planner,
+        "count_within_limit",
+        lambda spec, count, usage, teams: honest(spec, count, {}, teams),
     )
     with pytest.raises(Broken, match="accelerators"):
         for seed in range(10):
@@ -267,11 +269,11 @@
     honest = Answers.orders
 
     def hasty(self, m, report, peek=False):
-        held, m.clearing = m.clearing, set()
+        held, m.uncommitted_ends = m.uncommitted_ends, set()
         try:
             return honest(self, m, report, peek)
         finally:
-            m.clearing = held
+            m.uncommitted_ends = held
 
     def at_once(self, m, report, reply, *_):
         self.answer(m, cm.Held(report, reply, 0.0, False))
