--- a/coveflow/core/admission.py
+++ b/coveflow/core/admission.py
@@ -1,8 +1,8 @@
-"""Whose submission is written next, and when one that cannot be is to come again.
+"""Admission control: the order in which submissions are written, and Retry-After for the rest.
 
-Pure and without a clock. Submissions wait by team and class and are taken by deficit round-robin
-(Shreedhar and Varghese, 1995) with their cost in the store's changes, so that a team that sends
-fifty times its share waits for itself and nobody else does.
+The module does no I/O and reads no clock. Submissions are queued by team and class and dequeued by
+deficit round-robin (Shreedhar and Varghese, 1995), with their cost in store writes, so that a team
+that sends fifty times its share delays only its own submissions.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 Flow = tuple[str, str]  # team and class
 
 
-class Queue(Generic[T]):
-    """Entries by team, and within a team by class; each turn of a team serves its next class."""
+class FairQueue(Generic[T]):
+    """Queues per team, and per class within a team; each turn of a team serves its next class."""
 
     def __init__(self) -> None:
         self.teams: OrderedDict[str, OrderedDict[str, deque[T]]] = OrderedDict()
@@ -38,35 +38,36 @@
         self.teams.setdefault(team, OrderedDict()).setdefault(workload, deque()).append(entry)
         self.count += 1
 
-    def of(self, team: str) -> int:
-        """How many of the team's wait."""
+    def waiting_of(self, team: str) -> int:
+        """Number of queued entries of the team."""
         return sum(map(len, self.teams.get(team, {}).values()))
 
-    def take(self, most: int, fits: Callable[[T], bool] = lambda entry: True) -> list[T]:
-        """The next entries, one of a team at a time; `fits` tells which may go with the others.
+    def take(self, max_entries: int, fits: Callable[[T], bool] = lambda entry: True) -> list[T]:
+        """Dequeue the next entries, one per team and turn.
 
-        What does not fit keeps its place, and its class waits for it.
+        `fits` tells whether an entry may join those already taken. An entry that does not fit keeps
+        its place at the head of its class, and the class waits for it.
         """
         taken: list[T] = []
-        passed: set[Flow] = set()
-        while len(taken) < most:
+        skipped: set[Flow] = set()
+        while len(taken) < max_entries:
             flow = next(
                 ((t, w) for t, classes in self.teams.items() for w in classes
-                 if (t, w) not in passed), None,
+                 if (t, w) not in skipped), None,
             )  # fmt: skip
             if flow is None:
                 return taken
             team, workload = flow
             waiting = self.teams[team][workload]
             if not fits(waiting[0]):
-                passed.add(flow)
+                skipped.add(flow)
                 continue
             taken.append(waiting.popleft())
             self.count -= 1
-            self._turn(team, workload)
+            self._end_turn(team, workload)
         return taken
 
-    def _turn(self, team: str, workload: str) -> None:
+    def _end_turn(self, team: str, workload: str) -> None:
         classes = self.teams[team]
         if classes[workload]:
             classes.move_to_end(workload)
@@ -78,21 +79,21 @@
             del self.teams[team]
 
 
-def admits(waiting: int, of_team: int, teams: int, bound: int) -> bool:
-    """Whether one more of a team may wait, given how many wait and of how many teams.
+def admits(waiting: int, team_waiting: int, teams: int, limit: int) -> bool:
+    """Whether a team may queue one more, given the total, its own count and the number of teams.
 
-    A queue that is full still has room for a team that has less than its part of it waiting: what
-    others sent must not keep it out.
+    A full queue still accepts a team that has less than its fair share of the limit queued, up to
+    twice the limit: a flood from others must not shut it out.
     """
-    if waiting < bound:
+    if waiting < limit:
         return True
-    return of_team < bound / max(1, teams) and waiting < 2 * bound
+    return team_waiting < limit / max(1, teams) and waiting < 2 * limit
 
 
-def retry_after_s(waiting: int, per_s: float, spread: float) -> int:
-    """s after which a refused submission should come again: when what waits now is written.
+def retry_after_s(waiting: int, rate_per_s: float, jitter: float) -> int:
+    """s after which to retry a refused submission: when the current queue will be written.
 
-    `spread` in 0 to 1 keeps them from coming all at once. The protocol heeds 30 s at the most.
+    `jitter` in 0 to 1 spreads the retries. The protocol honours at most 30 s.
     """
-    wait = waiting / max(per_s, 0.1)
-    return max(1, min(c.RETRY_AFTER_MOST, math.ceil(wait * (1.0 + spread))))
+    wait = waiting / max(rate_per_s, 0.1)
+    return max(1, min(c.RETRY_AFTER_MOST, math.ceil(wait * (1.0 + jitter))))
--- a/coveflow/core/arrivals.py
+++ b/coveflow/core/arrivals.py
@@ -1,48 +1,49 @@
-"""Whether workers still reach a node, told from the times at which their reports came before.
+"""Whether workers still reach a node, judged by the arrival times of their reports.
 
-Pure and without a clock: every call is told the time, in s of the node's clock.
+The module does no I/O and reads no clock: the caller passes the time, in s of the node's clock.
 """
 
 from __future__ import annotations
 
 from coveflow import constants as c
-from coveflow.core.suspicion import Accrual
+from coveflow.core.failure_detector import AccrualDetector
 
 
 class Arrivals:
-    """Times of the reports that came to one node, from workers and by other nodes."""
+    """Arrival times of the reports to one node, from workers and through other nodes."""
 
     def __init__(self, report_s: float, began: float) -> None:
-        """`report_s` is the interval at which a worker reports, `began` when the node did."""
-        self.reports = Accrual(report_s, c.CUT_REPORTS_S)  # of workers themselves
-        self.any = Accrual(report_s, c.CUT_REPORTS_S)  # of workers and in other nodes' batches
+        """`report_s`: the report interval of a worker; `began`: when the node started."""
+        # Reports directly from workers, and those including batches from other nodes.
+        self.worker_reports = AccrualDetector(report_s, c.CUT_REPORTS_S)
+        self.all_reports = AccrualDetector(report_s, c.CUT_REPORTS_S)
         self.cut_since: float | None = None
-        self.reported_at = began  # when a worker was last heard, or this node began
+        self.last_report_at = began  # when a worker last reported, or this node started
 
-    def report(self, now: float) -> None:
-        """A worker's report came."""
-        self.reported_at = now
-        self.reports.seen(now)
-        self.any.seen(now)
+    def record_report(self, now: float) -> None:
+        """Record a report from a worker."""
+        self.last_report_at = now
+        self.worker_reports.record(now)
+        self.all_reports.record(now)
         self.cut_since = None
 
-    def batch(self, now: float) -> None:
-        """Another node brought the reports of its workers."""
-        self.any.seen(now)
+    def record_batch(self, now: float) -> None:
+        """Record a batch of reports from another node."""
+        self.all_reports.record(now)
 
-    def falls_silent(self, now: float, workers: int) -> bool:
-        """Whether the silence of so many workers begins to count as a cut by this call."""
+    def detect_cut(self, now: float, workers: int) -> bool:
+        """Whether this call is the first to find the node cut off from its `workers` workers."""
         if self.cut_since is not None or workers < c.CUT_MACHINES:
             return False
-        if self.reports.level(now) < c.DOUBT_RAISE:
+        if self.worker_reports.level(now) < c.DOUBT_RAISE:
             return False
         self.cut_since = now
         return True
 
-    def cut(self, now: float) -> bool:
+    def is_cut(self, now: float) -> bool:
         """Whether no worker reaches this node any more, though enough of them should."""
         return self.cut_since is not None and now - self.cut_since < c.CUT_STAYS_S
 
-    def silent(self, now: float) -> bool:
-        """Whether no report comes any more, of a worker or by another node, or none ever did."""
-        return self.any.level(now) >= c.DOUBT_RAISE or self.any.last is None
+    def is_silent(self, now: float) -> bool:
+        """Whether reports from workers and other nodes have stopped, or none ever came."""
+        return self.all_reports.level(now) >= c.DOUBT_RAISE or self.all_reports.last_seen is None
--- a/coveflow/core/cancellations.py
+++ b/coveflow/core/cancellations.py
@@ -1,9 +1,10 @@
-"""Which jobs users were told are cancelled, and up to which moment all of these are known here.
+"""The cancellations confirmed to users, and the time up to which this node knows all of them.
 
-A 200 to a worker renews its lease, whoever sends it. The invariant (docs/notes/evidence.md): every
-cancellation that a user was told of more than `cancel_s - lease_s - margin` before the report is
-taken is known to whoever answers it, and the answer brings the stops of all its tasks that the
-report names and no run of any. What is older stops; what is younger ends with the lease.
+A 200 answer to a worker renews its lease, whichever node sends it. The invariant
+(docs/notes/evidence.md): if a cancellation was confirmed to a user more than
+`cancel_s - lease_s - margin` before a report is accepted, then the node that answers the report
+knows it, and the answer contains stop orders for all tasks of the job in the report and no run
+order for any. So older cancellations stop tasks by order, and newer ones by the end of the lease.
 """
 
 from __future__ import annotations
@@ -17,112 +18,118 @@
 from coveflow import constants as c
 
 
-class Word(msgspec.Struct, eq=False):
-    """What one other member has told of the cancellations that it confirmed to users."""
+class PeerConfirmations(msgspec.Struct, eq=False):
+    """What is known about the cancellations that one other member confirmed to users."""
 
-    process: str = ""  # of that name; another one may have forgotten what it confirmed
-    since: float = math.inf  # when this process was first heard
-    at: float = -math.inf  # when that was sent which its newest word answers
-    whole: bool = False  # the store, asked since the process was heard, told of all before it
+    process: str = ""  # process id; a restarted process has lost what it confirmed
+    first_heard_at: float = math.inf  # when this process was first heard
+    at: float = -math.inf  # when the request for its latest list was sent
+    whole: bool = False  # a store read since it was first heard covers all before
 
 
 class Cancellations:
-    """Times in s of this node's clock, but for those of cancellations, which are times of day."""
+    """The cancellations known to this node.
+
+    Times are in s of this node's clock, except cancellation times, which are times of day.
+    """
 
     def __init__(self, members: Iterable[str], cancel_s: float, lease_s: float) -> None:
-        self.limit_s = cancel_s - lease_s - c.CONTACT_MARGIN_S
-        self.keep_s = c.CANCEL_KEPT_PARTS * cancel_s
-        self.words = {name: Word() for name in members}
-        self.store_at = -math.inf  # all that was committed before this is known by the store's word
-        # Jobs with their time of cancellation and when this was last heard, oldest first.
+        self.max_age_s = cancel_s - lease_s - c.CONTACT_MARGIN_S
+        self.retention_s = c.CANCEL_KEPT_PARTS * cancel_s
+        self.peers = {name: PeerConfirmations() for name in members}
+        self.store_known_until = (
+            -math.inf
+        )  # everything committed before this was read from the store
+        # By job: time of cancellation and when it was last heard of, least recent first.
         self.known: OrderedDict[str, tuple[float, float]] = OrderedDict()
-        self.confirmed: OrderedDict[str, tuple[float, float]] = OrderedDict()  # to users, from here
+        # The same for those confirmed to users by this process.
+        self.confirmed: OrderedDict[str, tuple[float, float]] = OrderedDict()
 
     def __contains__(self, job: object) -> bool:
         return job in self.known
 
-    def since(self, job: str) -> float | None:
-        """Time of day of the job's cancellation, if it is known to be cancelled."""
-        row = self.known.get(job)
-        return None if row is None else row[0]
+    def cancelled_at(self, job: str) -> float | None:
+        """Time of day of the job's cancellation; None if it is not known to be cancelled."""
+        entry = self.known.get(job)
+        return None if entry is None else entry[0]
 
-    # --- what comes in -------------------------------------------------------------------
+    # --- updates -------------------------------------------------------------------------
 
     def confirm(self, job: str, cancelled: float, now: float) -> None:
-        """A user is about to be told here that the job is cancelled, by whatever answer.
+        """Record that a user is about to learn from this node that the job is cancelled.
 
-        Polls and repeated submissions count as well: the node that wrote the cancellation may have
-        told nobody, its answer lost, and so have nothing to tell its peers.
+        Answers to polls and repeated submissions count too: if the answer of the node that wrote
+        the cancellation was lost, that node has confirmed nothing that it could announce to peers.
         """
-        self._note(self.confirmed, job, cancelled, now)
-        self._note(self.known, job, cancelled, now)
+        self._record(self.confirmed, job, cancelled, now)
+        self._record(self.known, job, cancelled, now)
 
-    def peer_told(
+    def record_peer_list(
         self, name: str, process: str, jobs: dict[str, float] | None, sent: float, now: float
     ) -> list[str]:
-        """A member's word, in answer to what was sent to it then; the jobs that are news.
+        """Record a member's list, requested at `sent`; returns the jobs that are new here.
 
-        `jobs` is None where it says nothing of them (an older build, bad input): its word is
-        unknown from then on. One that names less than all since its last word, as more time than
-        it keeps them for has passed, is as good as another process's.
+        `jobs` is None if the answer has no list (older build, invalid input); the member's
+        confirmations are unknown from then on. If the previous list is so old that the member may
+        have dropped entries since, the list is treated like that of a new process.
         """
-        word = self.words.get(name)
-        if word is None:
+        peer = self.peers.get(name)
+        if peer is None:
             return []
         if jobs is None:
-            self.words[name] = Word()
+            self.peers[name] = PeerConfirmations()
             return []
-        if word.process != process or sent - word.at > self.keep_s / 2:
-            word = self.words[name] = Word(process, now)
-        word.at = max(word.at, sent)
-        news = [job for job in jobs if job not in self.known]
+        if peer.process != process or sent - peer.at > self.retention_s / 2:
+            peer = self.peers[name] = PeerConfirmations(process, now)
+        peer.at = max(peer.at, sent)
+        new_jobs = [job for job in jobs if job not in self.known]
         for job, cancelled in jobs.items():
-            self._note(self.known, job, cancelled, now)
-        return news
+            self._record(self.known, job, cancelled, now)
+        return new_jobs
 
-    def store_answered(self, sent: float) -> None:
-        """All that was committed before `sent` has been told and taken in.
+    def record_store_contact(self, sent: float) -> None:
+        """Record that everything committed before `sent` has been read from the store.
 
-        Only a process that was there by then is known to have confirmed nothing unknown: the watch
-        may have been opened before an earlier process of that name confirmed its last one.
+        This vouches only for processes first heard by then: the watch may have been opened before
+        an earlier process of the same member confirmed its last cancellation.
         """
-        self.store_at = max(self.store_at, sent)
-        for word in self.words.values():
-            if word.process and word.since <= sent:
-                word.whole = True
+        self.store_known_until = max(self.store_known_until, sent)
+        for peer in self.peers.values():
+            if peer.process and peer.first_heard_at <= sent:
+                peer.whole = True
 
-    # --- what follows --------------------------------------------------------------------
+    # --- queries -------------------------------------------------------------------------
 
-    def known_at(self) -> float:
-        """Every cancellation that users were told of before this is known here.
+    def known_until(self) -> float:
+        """The time before which every cancellation confirmed to users is known here.
 
-        Only members confirm cancellations, so the word of every one of them is as good as the
-        store's. If any is unheard, restarted or unknown, the store's word alone counts.
+        Only members confirm cancellations, so lists from all of them are as good as a store read.
+        If any member is unheard, restarted or unknown, only the store read counts.
         """
-        words = self.words.values()
-        if not words or not all(word.whole for word in words):
-            return self.store_at
-        return max(self.store_at, min(word.at for word in words))
+        peers = self.peers.values()
+        if not peers or not all(peer.whole for peer in peers):
+            return self.store_known_until
+        return max(self.store_known_until, min(peer.at for peer in peers))
 
     def may_renew(self, now: float) -> bool:
-        """Whether a lease renewed now ends before the limit of any cancellation unknown here."""
-        return now - self.known_at() < self.limit_s
+        """Whether a lease renewed now expires before the deadline of any unknown cancellation."""
+        return now - self.known_until() < self.max_age_s
 
-    def word(self, now: float) -> dict[str, float]:
-        """What this process confirmed to users lately, for the others."""
-        self._forget(now)
+    def recently_confirmed(self, now: float) -> dict[str, float]:
+        """The cancellations this process recently confirmed to users, for the other nodes."""
+        self._expire(now)
         return {job: cancelled for job, (cancelled, _) in self.confirmed.items()}
 
     @staticmethod
-    def _note(
+    def _record(
         table: OrderedDict[str, tuple[float, float]], job: str, cancelled: float, now: float
     ) -> None:
-        before = table.get(job)
-        table[job] = (cancelled if before is None else min(before[0], cancelled), now)
+        previous = table.get(job)
+        table[job] = (cancelled if previous is None else min(previous[0], cancelled), now)
         table.move_to_end(job)
 
-    def _forget(self, now: float) -> None:
-        """By then no task of them is left anywhere, and a leader has them in its book."""
+    def _expire(self, now: float) -> None:
+        """Remove old entries, whose tasks have all ended and which the leader has on record."""
         for table in (self.known, self.confirmed):
-            while table and now - next(iter(table.values()))[1] > self.keep_s:
+            while table and now - next(iter(table.values()))[1] > self.retention_s:
                 table.popitem(last=False)
--- a/coveflow/core/contacts.py
+++ b/coveflow/core/contacts.py
@@ -1,7 +1,7 @@
-"""What a node remembers of the workers that report to it: one record a machine.
+"""Records of the workers that report to a node, one per machine.
 
-Pure and without a clock: every call is told the time, in s of the node's clock. A record is kept
-from report to report and forgotten in one place, `Contacts.expire`.
+The module does no I/O and reads no clock: the caller passes the time, in s of the node's clock.
+Records persist between reports and are removed only by `Contacts.expire`.
 """
 
 from __future__ import annotations
@@ -14,42 +14,42 @@
 from coveflow import constants as c
 from coveflow.core.model import Report
 
-NEVER = -1e9  # s; a moment before all others
+NEVER = -1e9  # s; earlier than any other time
 
 
 class Contact(msgspec.Struct, eq=False, gc=False):
-    """One machine's reports to this node, and what was done with them. Times in s."""
+    """The reports of one machine to this node and how they were handled. Times in s."""
 
-    tenure: int  # of the newest report
-    counter: int  # of the newest report
-    reported_at: float  # when the newest report came
-    taken_at: float = NEVER  # newest report that was not redirected; reset by a redirect
-    kept_alive_at: float = NEVER  # newest report whose lease this node renewed without the leader
+    tenure: int  # of the latest report
+    counter: int  # of the latest report
+    reported_at: float  # when the latest report came
+    accepted_at: float = NEVER  # latest report that was not redirected; reset by a redirect
+    locally_renewed_at: float = NEVER  # latest report whose lease this node renewed itself
     redirected_at: float = NEVER
-    relay_until: float = NEVER  # its reports are passed on rather than redirected until then
-    mailed_at: float = NEVER  # newest report that went into the mailbox
-    mates_tried: tuple[str, ...] = ()  # nodes of this zone that the worker was sent to
-    mates_tried_since: float = NEVER
+    relay_until: float = NEVER  # until then its reports are relayed, not redirected
+    mailed_at: float = NEVER  # latest report that went into the mailbox
+    zone_nodes_tried: tuple[str, ...] = ()  # nodes of this zone to which the worker was redirected
+    zone_nodes_tried_since: float = NEVER
 
     def bounced(self, now: float) -> bool:
-        """Whether the worker was redirected just now: it can't reach where it was sent."""
+        """Whether the worker is back soon after a redirect, so it cannot reach the target."""
         return now - self.redirected_at < c.BOUNCE_S
 
     def relaying(self, now: float) -> bool:
-        """Whether its reports are passed on rather than redirected, since it bounced."""
+        """Whether its reports are relayed rather than redirected, because it bounced."""
         return now < self.relay_until
 
-    def relay(self, now: float) -> None:
-        """Pass its reports on for a while, before a redirect is tried again."""
+    def start_relaying(self, now: float) -> None:
+        """Relay its reports for a while before trying a redirect again."""
         self.relay_until = now + c.RELAY_SPELL_S
 
-    def redirect(self, now: float) -> None:
-        """The worker is sent to another node now, and is none of this node's any more."""
-        self.redirected_at, self.taken_at = now, NEVER
+    def record_redirect(self, now: float) -> None:
+        """Record that the worker is redirected to another node and no longer reports here."""
+        self.redirected_at, self.accepted_at = now, NEVER
 
 
-class HeardReport(NamedTuple):
-    """A report that this node answered itself, as the other nodes are told of it."""
+class AnsweredReport(NamedTuple):
+    """A report that this node answered itself, as announced to the other nodes."""
 
     age_s: float
     tenure: int
@@ -57,23 +57,23 @@
 
 
 class Contacts:
-    """The records of all machines that reported here lately."""
+    """The records of all machines that reported here recently."""
 
     def __init__(self, lease_s: float) -> None:
         self.lease_s = lease_s
-        # Longer than any of a record's moments matters. A machine that counts from the beginning
-        # is not ignored for good.
+        # Longer than any time in a record matters. Records must expire so that a machine whose
+        # counter restarts is not ignored forever.
         self.keep_s = max(2 * lease_s, c.RELAY_SPELL_S)
         self.by_machine: dict[str, Contact] = {}
-        self.expired_at = NEVER  # when records were looked through last
+        self.expired_at = NEVER  # when records were last expired
 
-    def take(self, report: Report, now: float) -> Contact | None:
-        """The machine's record with this report as its newest; None if the report is no news.
+    def record(self, report: Report, now: float) -> Contact | None:
+        """Store the report as the machine's latest; returns its record, or None if not newer.
 
-        A report that is no newer than one before is a late copy, or of a machine that counts from
-        the beginning; the record is left as it is.
+        A report that is not newer is a late duplicate, or its machine's counter has restarted; the
+        record stays unchanged.
         """
-        # Other nodes' questions do it more often, where there are any.
+        # If there are other nodes, their pings trigger this more often.
         if now - self.expired_at > self.lease_s:
             self.expire(now)
         contact = self.by_machine.get(report.machine)
@@ -87,27 +87,31 @@
         return contact
 
     def expire(self, now: float) -> None:
-        """Forget the machines that did not report for so long that nothing of them matters."""
+        """Remove the machines whose last report is so old that nothing in the record matters."""
         self.expired_at, contacts = now, self.by_machine
-        for machine in [m for m, it in contacts.items() if now - it.reported_at > self.keep_s]:
+        for machine in [
+            m for m, contact in contacts.items() if now - contact.reported_at > self.keep_s
+        ]:
             del contacts[machine]
 
-    def workers(self, now: float) -> int:
-        """Number of machines whose reports this node took within the last lease."""
+    def count_workers(self, now: float) -> int:
+        """Number of machines whose reports this node accepted within the last lease."""
         oldest = now - self.lease_s
-        return sum(contact.taken_at >= oldest for contact in self.by_machine.values())
+        return sum(contact.accepted_at >= oldest for contact in self.by_machine.values())
 
-    def kept_alive(self, now: float, within_s: float) -> Iterator[str]:
-        """Machines whose leases this node renewed without the leader in less than that time."""
+    def locally_renewed(self, now: float, within_s: float) -> Iterator[str]:
+        """Machines whose leases this node renewed itself within the last `within_s`."""
         for machine, contact in self.by_machine.items():
-            if now - contact.kept_alive_at < within_s:
+            if now - contact.locally_renewed_at < within_s:
                 yield machine
 
-    def heard(self, now: float) -> dict[str, HeardReport]:
-        """Newest reports of the machines whose leases this node renewed without the leader."""
+    def answered_reports(self, now: float) -> dict[str, AnsweredReport]:
+        """Latest reports of the machines whose leases this node renewed itself."""
         oldest = now - self.lease_s
         return {
-            machine: HeardReport(now - contact.kept_alive_at, contact.tenure, contact.counter)
+            machine: AnsweredReport(
+                now - contact.locally_renewed_at, contact.tenure, contact.counter
+            )
             for machine, contact in self.by_machine.items()
-            if contact.kept_alive_at >= oldest
+            if contact.locally_renewed_at >= oldest
         }
--- a/coveflow/core/delivery.py
+++ b/coveflow/core/delivery.py
@@ -1,7 +1,7 @@
-"""How a report that was taken by a node gets to the leader, and what to do when it does not.
+"""How a report accepted by a node reaches the leader, and the fallback if it does not.
 
-Pure and without a clock: every call is told the time, in s. What is decided is noted in the
-machine's `Contact`.
+The module does no I/O and reads no clock: the caller passes the time, in s. Decisions are recorded
+in the machine's `Contact`.
 """
 
 from __future__ import annotations
@@ -14,92 +14,102 @@
 from coveflow.core.contacts import Contact
 
 
-class Way(Enum):
-    """What becomes of a report at a node that does not lead."""
+class DeliveryPath(Enum):
+    """How a node that is not the leader handles a report."""
 
-    BATCH = auto()  # carried to the leader with other reports
-    RELAY = auto()  # passed to the leader by itself
-    REDIRECT = auto()  # the worker is sent to the leader
+    BATCH = auto()  # sent to the leader together with other reports
+    RELAY = auto()  # sent to the leader on its own
+    REDIRECT = auto()  # the worker is redirected to the leader
     MAILBOX = auto()  # left for the leader in the store
-    KEEP_ALIVE = auto()  # answered here: the lease is renewed, cancelled work is stopped
+    KEEP_ALIVE = auto()  # answered here: renews the lease and stops cancelled work
 
 
 class LeaderLink(Protocol):
-    """What the node that decides knows of its ways to the leader just now."""
+    """What the deciding node currently knows about its connection to the leader."""
 
     def store_fresh(self, now: float) -> bool:
-        """Whether the store answered this node just now."""
+        """Whether the store answered this node recently."""
 
     def leader_is_member(self) -> bool:
         """Whether the leader is one of the live members."""
 
     def leader_answers(self) -> bool:
-        """Whether the leader answered this node just now, as one that leads."""
+        """Whether the leader answered this node recently and claims to lead."""
 
     def leader_lost(self, now: float) -> bool:
-        """Whether the leader is silent for longer than its hold would live if it were gone."""
+        """Whether the leader has been silent for longer than its lease would last after a crash."""
 
     def refused(self, now: float) -> bool:
-        """Whether the leader and all other nodes refuse this one, while the store answers it."""
+        """Whether the leader and all other nodes refuse connections while the store answers."""
 
-    def kept_from_all(self, now: float) -> bool:
-        """Whether this node hears no other, one of its own zone included, but the store."""
+    def isolated_from_nodes(self, now: float) -> bool:
+        """Whether this node hears the store but no other node, not even one of its zone."""
 
 
-def by_home(contact: Contact, link: LeaderLink, now: float) -> Way:
-    """The way of a report that came to the machine's home now."""
+def path_at_home(contact: Contact, link: LeaderLink, now: float) -> DeliveryPath:
+    """The path of a report that just came to the machine's home node."""
     if link.leader_lost(now):
-        # Its hold would be over by now if the leader were gone: the way to it is cut.
-        if link.kept_from_all(now) and link.leader_is_member() and _sent(contact, now):
-            return Way.REDIRECT
-        return fallback(link, now)
+        # A dead leader's lease would have expired by now, so the link to it must be cut.
+        if (
+            link.isolated_from_nodes(now)
+            and link.leader_is_member()
+            and _redirect_unless_bounced(contact, now)
+        ):
+            return DeliveryPath.REDIRECT
+        return fallback_path(link, now)
     if not link.refused(now):
-        return Way.BATCH
-    return after_batch(contact, link, now, now)
+        return DeliveryPath.BATCH
+    return path_after_batch(contact, link, now, now)
 
 
-def after_batch(contact: Contact, link: LeaderLink, taken_at: float, now: float) -> Way:
-    """The way of a report, taken then, to which the leader gave no answer in a batch."""
+def path_after_batch(
+    contact: Contact, link: LeaderLink, accepted_at: float, now: float
+) -> DeliveryPath:
+    """The path of a report, accepted at `accepted_at`, that went unanswered in a batch."""
     if link.refused(now) and link.leader_is_member():
-        # Filters between the nodes refuse at once, and the end of the leader's hold need not be
-        # waited for: nothing started for 6.5 s. If all ended instead, its workers are back here
-        # a second later.
-        if _sent(contact, taken_at):
-            return Way.REDIRECT
-        if now - taken_at < c.RELAY_TIMEOUT_S / 2:
-            # It came back from there: by mail, which also tells that it is heard.
-            return fallback(link, taken_at)
-    return Way.KEEP_ALIVE
-
-
-def by_follower(contact: Contact, link: LeaderLink, now: float) -> Way:
-    """The way of a report that came now where machines have no homes: only the leader takes any."""
+        # A firewall between the nodes refuses at once, so there is no need to wait until the
+        # leader's lease has expired; with that wait nothing started for 6.5 s. If the other nodes
+        # have died instead, the redirected workers are back here a second later.
+        if _redirect_unless_bounced(contact, accepted_at):
+            return DeliveryPath.REDIRECT
+        if now - accepted_at < c.RELAY_TIMEOUT_S / 2:
+            # The worker bounced. The mailbox also tells the leader that the worker is alive.
+            return fallback_path(link, accepted_at)
+    return DeliveryPath.KEEP_ALIVE
+
+
+def path_at_follower(contact: Contact, link: LeaderLink, now: float) -> DeliveryPath:
+    """The path of a report that just came, if machines have no homes.
+
+    Then only the leader takes reports.
+    """
     if not link.leader_answers():
-        return fallback(link, now)
-    if redirects.stays(contact, now):
-        return Way.RELAY
-    contact.redirect(now)
-    return Way.REDIRECT
+        return fallback_path(link, now)
+    if redirects.relays_after_bounce(contact, now):
+        return DeliveryPath.RELAY
+    contact.record_redirect(now)
+    return DeliveryPath.REDIRECT
 
 
-def after_relay(link: LeaderLink, taken_at: float, now: float) -> Way:
-    """The way of a report, taken then, that the leader did not answer when it was relayed."""
-    if now - taken_at > c.RELAY_TIMEOUT_S / 2:
-        # No time is left for the mailbox: the worker would give this node up.
-        return Way.KEEP_ALIVE
-    return fallback(link, taken_at)
+def path_after_relay(link: LeaderLink, accepted_at: float, now: float) -> DeliveryPath:
+    """The path of a report, accepted at `accepted_at`, that went unanswered when relayed."""
+    if now - accepted_at > c.RELAY_TIMEOUT_S / 2:
+        # No time is left for the mailbox: the worker would give up on this node.
+        return DeliveryPath.KEEP_ALIVE
+    return fallback_path(link, accepted_at)
 
 
-def fallback(link: LeaderLink, now: float) -> Way:
-    """The way of a report that can't reach the leader directly."""
-    return Way.MAILBOX if link.store_fresh(now) else Way.KEEP_ALIVE
+def fallback_path(link: LeaderLink, now: float) -> DeliveryPath:
+    """The path of a report that cannot reach the leader directly."""
+    return DeliveryPath.MAILBOX if link.store_fresh(now) else DeliveryPath.KEEP_ALIVE
 
 
-def mailed(contact: Contact, has_end: bool, now: float) -> bool:
-    """Whether a report goes into the mailbox; noted as the machine's newest that did.
+def admit_to_mailbox(contact: Contact, has_end: bool, now: float) -> bool:
+    """Whether a report goes into the mailbox; if so, recorded as the machine's latest there.
 
-    A zone's reports do not all fit into it. Those that bring the end of a task do; all waiting in
-    turn left rooms empty for ten seconds and kept ends from being told.
+    The mailbox cannot take all reports of a zone, so other reports are rate-limited and those with
+    the end of a task always pass. Queueing all of them left slots empty for ten seconds and delayed
+    task ends.
     """
     if not has_end and now - contact.mailed_at < c.MAIL_EACH_S:
         return False
@@ -107,10 +117,10 @@
     return True
 
 
-def _sent(contact: Contact, now: float) -> bool:
-    """Send the worker to the leader, unless it came back from where it was sent last."""
-    if redirects.stays(contact, now):
-        contact.relay(now)
+def _redirect_unless_bounced(contact: Contact, now: float) -> bool:
+    """Redirect the worker to the leader, unless it bounced off the last redirect."""
+    if redirects.relays_after_bounce(contact, now):
+        contact.start_relaying(now)
         return False
-    contact.redirect(now)
+    contact.record_redirect(now)
     return True
--- a/coveflow/core/fleet.py
+++ b/coveflow/core/fleet.py
@@ -447,7 +447,7 @@
             m
             for m in machines
             if m.up
-            and not (m.returning or m.draining or m.suspect or m.answer_receipt.deaf)
+            and not (m.returning or m.draining or m.suspect or m.answer_receipt.not_receiving)
             and m.ends_at is None
         ]
         candidates: list[tuple[float, Machine, list[Spec]]] = []
@@ -508,7 +508,7 @@
         free = used = 0.0
         up: dict[tuple[str, bool], int] = {}
         for m in machines:
-            if m.returning or not m.up or m.answer_receipt.deaf:
+            if m.returning or not m.up or m.answer_receipt.not_receiving:
                 continue
             key = (m.flavor.name, m.spot)
             up[key] = up.get(key, 0) + 1
@@ -577,7 +577,11 @@
 
 
 def _usable(m: Machine, spec: Spec) -> bool:
-    return m.up and not (m.returning or m.draining or m.answer_receipt.deaf) and m.allows(spec)
+    return (
+        m.up
+        and not (m.returning or m.draining or m.answer_receipt.not_receiving)
+        and m.allows(spec)
+    )
 
 
 def _can_move_all(specs: list[Spec], capacities: list[SimulatedMachine]) -> bool:
--- a/coveflow/core/leases.py
+++ b/coveflow/core/leases.py
@@ -1,7 +1,8 @@
-"""What an answer that renews a worker's lease has to bring, whoever sends it.
+"""The orders that any answer renewing a worker's lease must contain, whichever node sends it.
 
-Any 200 to a worker renews its lease. One is given only while `Cancellations.may_renew` holds, and
-it brings the stops named here; a node that does not lead gives no other orders.
+Every 200 answer to a worker renews its lease. A node sends one only while
+`Cancellations.may_renew` holds, and it contains the stop orders computed here; a node that is not
+the leader sends no other orders.
 """
 
 from __future__ import annotations
@@ -11,12 +12,11 @@
 from coveflow.core.model import Order, Report
 
 
-def stops(report: Report, cancelled: Callable[[str], bool]) -> list[Order]:
-    """Stops of all that the report names of cancelled jobs: the least that any 200 has to bring.
+def stop_orders(report: Report, cancelled: Callable[[str], bool]) -> list[Order]:
+    """Stop orders for all tasks of cancelled jobs in the report: the minimum for any 200 answer.
 
-    `cancelled` says whether a job is known to be cancelled, by whatever word. Two places once knew
-    cancellations, one from the peers and one from the store, and leaders answered by the store's
-    alone.
+    `cancelled` tells whether a job is known to be cancelled, from peers or from the store. It must
+    combine both sources: a leader that uses the store's list alone misses those from its peers.
     """
     return [
         Order("stop", task.job, task.task, task.number)
--- a/coveflow/core/model.py
+++ b/coveflow/core/model.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from coveflow import constants as c
-from coveflow.core.hearing import Hearing
+from coveflow.core.answer_receipt import AnswerReceipt
 
 KINDS = ("array", "gang", "service")
 
@@ -318,7 +318,7 @@
     draining: bool = False  # its tasks are moved to other machines, then it is returned
     drained: bool = False  # drained by an operator; recorded, so it survives a leader change
     suspect: bool = False
-    answer_receipt: Hearing = msgspec.field(default_factory=Hearing)
+    answer_receipt: AnswerReceipt = msgspec.field(default_factory=AnswerReceipt)
     failed_jobs: dict[str, int] = {}  # failures per job since a task last completed here
     failed_at: float = -1e9  # time of the last task failure here
     images: OrderedDict[str, float] = msgspec.field(default_factory=OrderedDict)
--- a/coveflow/core/overload.py
+++ b/coveflow/core/overload.py
@@ -1,8 +1,9 @@
-"""Overload of one process by its own work, told apart from a process that is sick.
+"""Detection of overload: whether a late process is overloaded or runs on a slow processor.
 
-Pure and without a clock: every call is told the time. A leader that is late because it is full of
-work gains nothing by handing over: its successor begins with the same work and cold state. What it
-starts is bounded by the rooms whose ends it has taken in, so it stays at its limit by itself.
+The module does no I/O and reads no clock: the caller passes the time. A leader that is late because
+of overload gains nothing by handing over: its successor starts with the same load and cold state.
+It starts new tasks only in slots whose previous task ends it has processed, so the load limits
+itself.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 
 class BusyShare:
-    """Part of the recent time that the process spent on its own work, 0 to 1."""
+    """Share of recent time, 0 to 1, that the process spent on its own work."""
 
     __slots__ = ("_at", "_busy_s", "_share")
 
@@ -22,12 +23,12 @@
         self._busy_s = 0.0
         self._share = 0.0
 
-    def worked(self, seconds: float) -> None:
-        """The process worked for this long, in s, since the last call."""
+    def add_busy_time(self, seconds: float) -> None:
+        """Add time, in s, that the process spent on its work."""
         self._busy_s += seconds
 
-    def look(self, now: float) -> float:
-        """The share up to `now` (s), older time fading with `BUSY_FADE_S`."""
+    def update(self, now: float) -> float:
+        """The share up to `now` (s); older time decays with time constant `BUSY_FADE_S`."""
         elapsed = now - self._at
         if elapsed > 0.0:
             kept = math.exp(-elapsed / c.BUSY_FADE_S)
@@ -37,30 +38,30 @@
         return self._share
 
 
-class ComputePace:
-    """How long a fixed piece of computing takes here: the least of the newest tries, in s.
+class ComputeSpeed:
+    """Time that a reference computation takes here: the minimum of the latest samples, in s.
 
-    The least, as any single try may be interrupted. Compared between processes it tells one whose
-    processor is slow from one that has too much to do.
+    The minimum, because any single run may be preempted. Comparing it between processes tells a
+    slow processor from a process with too much work.
     """
 
-    __slots__ = ("_tries",)
+    __slots__ = ("_samples",)
 
     def __init__(self) -> None:
-        self._tries: list[float] = []
+        self._samples: list[float] = []
 
-    def tried(self, seconds: float) -> None:
-        """One try took this long, in s."""
-        self._tries.append(seconds)
-        del self._tries[: -c.COMPUTE_TRIES]
+    def add_sample(self, seconds: float) -> None:
+        """Add the duration of one run, in s."""
+        self._samples.append(seconds)
+        del self._samples[: -c.COMPUTE_TRIES]
 
-    def least_s(self) -> float:
-        """Seconds for the fixed piece of computing; 0 while it is not known."""
-        return min(self._tries) if len(self._tries) == c.COMPUTE_TRIES else 0.0
+    def best_s(self) -> float:
+        """Minimum duration of the reference computation, in s; 0 while unknown."""
+        return min(self._samples) if len(self._samples) == c.COMPUTE_TRIES else 0.0
 
 
-def fixed_computation() -> int:
-    """The piece of computing that `ComputePace` times: about 0.1 ms on a core of today."""
+def reference_computation() -> int:
+    """The computation that `ComputeSpeed` times: about 0.1 ms on a current core."""
     total = 0
     for number in range(c.COMPUTE_STEPS):
         total += number & 7
@@ -68,9 +69,9 @@
 
 
 def overloaded(share: float, own_s: float, others_s: float) -> bool:
-    """Whether lateness is the own work's: busy, and no slower at computing than the best other.
+    """Whether overload explains lateness: busy, and not much slower than the fastest other node.
 
-    `own_s` and `others_s` as of `ComputePace.least_s`; 0 is unknown and says nothing.
+    `own_s` and `others_s` are values of `ComputeSpeed.best_s`; 0 is unknown and is ignored.
     """
     slower = own_s > 0.0 and others_s > 0.0 and own_s >= c.SICK_TIMES * others_s
     return share >= c.BUSY_SHARE and not slower
--- a/coveflow/core/planner_state.py
+++ b/coveflow/core/planner_state.py
@@ -232,7 +232,13 @@
     least -= EPS
     reserves: dict[str, AcceleratorUse] = {}
     for m in state.machines:
-        if not m.up or m.returning or m.draining or m.suspect or m.answer_receipt.doubtful:
+        if (
+            not m.up
+            or m.returning
+            or m.draining
+            or m.suspect
+            or m.answer_receipt.excluded_from_work
+        ):
             continue
         found.total_cpus += m.flavor.cpus
         found.free_cpus += m.cpus
@@ -244,7 +250,7 @@
                 m.flavor, state.accelerator_uses
             )
         size = (m.cpus, m.ram_gb, m.accelerators)
-        slots = min(slot_limit, m.answer_receipt.trust or slot_limit) - len(m.placements)
+        slots = min(slot_limit, m.answer_receipt.task_limit or slot_limit) - len(m.placements)
         capacity = MachineCapacity(m, *size, slots, size, reserve)
         if m.ends_at is not None:
             found.terminating.append(capacity)
--- a/coveflow/core/zones.py
+++ b/coveflow/core/zones.py
@@ -1,12 +1,13 @@
-"""What is known of whole zones: a zone that falls silent at once is one thing, not many machines.
+"""Detection of zone outages: a zone that falls silent as a whole is one event, not many.
 
-Pure and without a clock. A verdict about a zone moves traffic, plans and rentals, and puts off
-giving machines back; it proves nothing about any task.
+The module does no I/O and reads no clock. The state of a zone affects traffic, planning and
+rentals, and defers the release of its machines; it proves nothing about any task.
 
-A zone that is cut off goes on working inside. Controllers there renew leases for as long as their
-newest contact with the store allows, and what runs ends, saves or goes on until then. Machines
-given back meanwhile lose all of it, and come back cold if the cloud has them again at all: on a day
-with a cut of 40 s half of a fleet went back after 17 s, 23 s before it would have been heard again.
+A partitioned zone keeps working inside. Controllers there renew leases for as long as their latest
+contact with the store allows, and until then tasks finish, save or continue. Releasing machines
+meanwhile loses that work, and replacements start cold, if the cloud has capacity at all. Without
+this module, a partition of 40 s caused half of a fleet to be released after 17 s, 23 s before it
+would have been heard again.
 """
 
 from __future__ import annotations
@@ -18,105 +19,125 @@
 
 from coveflow import constants as c
 
-WHOLE = "whole"
-CUT = "cut"  # silent as a whole; leases there may still be renewed
-GONE = "gone"  # silent for so long that every lease there has ended
-RETURNING = "returning"  # heard again; what is still silent in it gets time to come back
+HEALTHY = "whole"
+CUT = "cut"  # silent as a whole; controllers inside may still renew leases
+GONE = "gone"  # silent for so long that every lease in it has expired
+RETURNING = "returning"  # heard again; machines still silent get time to reconnect
 
 
-class Seen(msgspec.Struct):
-    """What is heard of a zone at one moment."""
+class ZoneSample(msgspec.Struct):
+    """What is known about the machines and controllers of a zone at one moment."""
 
-    machines: int = 0  # on record or heard, and not given back
-    quiet: int = 0  # of these, silent for longer than a worker needs to find another controller
-    last: float = -math.inf  # newest sign of life of a machine in it, by the caller's clock
-    inside: int = 0  # controllers there that cannot be asked, and may keep leases alive
+    machines: int = 0  # recorded or heard, and not being released
+    silent_machines: int = 0  # silent for longer than a worker needs to fail over
+    last_heard: float = -math.inf  # latest contact with any of its machines, by the caller's clock
+    lost_controllers: int = 0  # its controllers that cannot be reached and may renew leases
 
     @property
     def silent(self) -> bool:
-        return self.machines >= c.ZONE_LEAST and self.quiet >= c.ZONE_QUIET * self.machines
+        return (
+            self.machines >= c.ZONE_LEAST and self.silent_machines >= c.ZONE_QUIET * self.machines
+        )
 
     @property
     def heard(self) -> bool:
-        return self.machines > 0 and self.quiet <= c.ZONE_HEARD * self.machines
+        return self.machines > 0 and self.silent_machines <= c.ZONE_HEARD * self.machines
 
 
 class Zone(msgspec.Struct, eq=False):
     """The state of one zone, and since when (s of the caller's clock)."""
 
-    state: str = WHOLE
+    state: str = HEALTHY
     since: float = -math.inf
-    cut_at: float = -math.inf  # the newest sign of life before it fell silent
-    back_at: float = -math.inf  # when it was last heard again after a cut
-    cuts: float = 0.0  # times it was cut lately, fading
-    machines: int = 0  # of it when it was cut
-    allowance: float = 0.0  # machines of it that may be given back by now, while it is gone
+    cut_at: float = -math.inf  # latest contact before it fell silent
+    heard_again_at: float = -math.inf  # when it was last heard again after a cut
+    recent_cuts: float = 0.0  # count of its cuts, decaying over time
+    machines_at_cut: int = 0  # its machines when it was cut
+    release_allowance: float = 0.0  # machines that may be released by now, while it is GONE
 
 
-class Zones:
-    """`dead_s`: s after a cut when no lease in the zone can live, whatever controllers there do."""
+class ZoneTracker:
+    """The states of all zones.
 
-    def __init__(self, dead_s: float) -> None:
-        self.dead_s = dead_s
+    `leases_end_s`: s after a cut by which every lease in the zone has expired, whatever its
+    controllers do.
+    """
+
+    def __init__(self, leases_end_s: float) -> None:
+        self.leases_end_s = leases_end_s
         self.zones: dict[str, Zone] = {}
-        self.looked = -math.inf
+        self.updated_at = -math.inf
 
     def get(self, name: str) -> Zone:
         return self.zones.setdefault(name, Zone())
 
-    def look(self, now: float, seen: Mapping[str, Seen]) -> list[tuple[str, Zone, str]]:
-        """Go by what is heard now; zones that changed, with the state before."""
+    def update(self, now: float, samples: Mapping[str, ZoneSample]) -> list[tuple[str, Zone, str]]:
+        """Update all zones from samples; returns those that changed, with their former state."""
         changes = []
-        for name, what in seen.items():
+        for name, sample in samples.items():
             zone = self.get(name)
-            before = zone.state
-            self._step(zone, what, self._others_heard(name, seen), now)
+            old_state = zone.state
+            self._advance(zone, sample, self._others_heard(name, samples), now)
             if zone.state == GONE:
-                # A zone's machines go back over a while, so that one heard again soon keeps most.
-                zone.allowance += zone.machines / c.ZONE_RETURN_S * min(now - self.looked, 1.0)
-            if zone.state != before:
-                zone.since, zone.allowance = now, 0.0
-                changes.append((name, zone, before))
-        self.looked = now
+                # Its machines are released gradually, so that a zone heard again soon keeps most.
+                zone.release_allowance += (
+                    zone.machines_at_cut / c.ZONE_RETURN_S * min(now - self.updated_at, 1.0)
+                )
+            if zone.state != old_state:
+                zone.since, zone.release_allowance = now, 0.0
+                changes.append((name, zone, old_state))
+        self.updated_at = now
         return changes
 
-    def _others_heard(self, name: str, seen: Mapping[str, Seen]) -> bool:
-        """Whether machines elsewhere are heard; if none is, it is the leader that is cut off."""
-        others = [what for other, what in seen.items() if other != name and what.machines]
-        machines = sum(what.machines for what in others)
-        return machines > 0 and sum(w.quiet for w in others) <= c.ZONE_HEARD * machines
-
-    def _step(self, zone: Zone, what: Seen, others: bool, now: float) -> None:
-        if zone.state in (WHOLE, RETURNING):
-            # Without a controller inside that cannot be asked nobody renews leases there: its
-            # machines died, or somebody would tell of them.
-            if what.silent and what.inside and others:
-                faded = (now - zone.back_at) / c.DOUBT_FADE_S
-                zone.cuts = max(0.0, zone.cuts - faded) + 1.0
-                zone.state, zone.cut_at, zone.machines = CUT, what.last, what.machines
-            elif zone.state == RETURNING and now - zone.back_at >= self.calm_s(zone):
-                zone.state = WHOLE
-        elif what.heard or (not what.machines and self._tried_again(zone, what, now)):
-            zone.state, zone.back_at = RETURNING, now
-        elif zone.state == CUT and now - zone.cut_at > self.dead_s:
+    def _others_heard(self, name: str, samples: Mapping[str, ZoneSample]) -> bool:
+        """Whether machines in other zones are heard; if not, the leader itself is cut off."""
+        others = [sample for other, sample in samples.items() if other != name and sample.machines]
+        machines = sum(sample.machines for sample in others)
+        return (
+            machines > 0
+            and sum(sample.silent_machines for sample in others) <= c.ZONE_HEARD * machines
+        )
+
+    def _advance(self, zone: Zone, sample: ZoneSample, others_heard: bool, now: float) -> None:
+        if zone.state in (HEALTHY, RETURNING):
+            # If all controllers inside are reachable, none renews leases unnoticed: the machines
+            # are dead, as a controller would report them otherwise.
+            if sample.silent and sample.lost_controllers and others_heard:
+                decay = (now - zone.heard_again_at) / c.DOUBT_FADE_S
+                zone.recent_cuts = max(0.0, zone.recent_cuts - decay) + 1.0
+                zone.state, zone.cut_at, zone.machines_at_cut = (
+                    CUT,
+                    sample.last_heard,
+                    sample.machines,
+                )
+            elif zone.state == RETURNING and now - zone.heard_again_at >= self.return_s(zone):
+                zone.state = HEALTHY
+        elif sample.heard or (
+            not sample.machines and self._usable_without_machines(zone, sample, now)
+        ):
+            zone.state, zone.heard_again_at = RETURNING, now
+        elif zone.state == CUT and now - zone.cut_at > self.leases_end_s:
             zone.state = GONE
 
-    def _tried_again(self, zone: Zone, what: Seen, now: float) -> bool:
-        """With no machine left there, its controllers tell; if none ever does, a rental will."""
-        return not what.inside or now - zone.since > c.ZONE_CALM_MAX_S
+    def _usable_without_machines(self, zone: Zone, sample: ZoneSample, now: float) -> bool:
+        """Whether a zone without machines counts as back.
+
+        It does once its controllers are reachable, or after a delay, when a new rental will tell.
+        """
+        return not sample.lost_controllers or now - zone.since > c.ZONE_CALM_MAX_S
 
-    def calm_s(self, zone: Zone) -> float:
-        """s for which a zone counts as returning: longer each time that it was cut again."""
-        return min(c.ZONE_CALM_S * 2.0 ** max(0.0, zone.cuts - 1.0), c.ZONE_CALM_MAX_S)
+    def return_s(self, zone: Zone) -> float:
+        """s for which a zone counts as returning: doubles with each recent cut."""
+        return min(c.ZONE_CALM_S * 2.0 ** max(0.0, zone.recent_cuts - 1.0), c.ZONE_CALM_MAX_S)
 
-    def cut_off(self) -> set[str]:
-        """Zones in which nothing that is begun now would be heard of."""
+    def unreachable(self) -> set[str]:
+        """Zones that would not report anything started there now."""
         return {name for name, zone in self.zones.items() if zone.state in (CUT, GONE)}
 
-    def put_off(self, name: str) -> bool:
-        """Whether silent machines there are left alone: what runs on them may live."""
+    def defers_release(self, name: str) -> bool:
+        """Whether its silent machines are kept, as tasks on them may still run."""
         return name in self.zones and self.zones[name].state == CUT
 
-    def heard_again(self, name: str) -> float:
-        """When the zone was last heard again: silence before that says nothing of a machine."""
-        return self.zones[name].back_at if name in self.zones else -math.inf
+    def heard_again_at(self, name: str) -> float:
+        """When the zone was last heard again; earlier silence says nothing about a machine."""
+        return self.zones[name].heard_again_at if name in self.zones else -math.inf
--- a/coveflow/daemon/agents.py
+++ b/coveflow/daemon/agents.py
@@ -14,7 +14,7 @@
 from coveflow import wire
 from coveflow.core import redirects
 from coveflow.core.arrivals import Arrivals
-from coveflow.core.contacts import Contacts, HeardReport
+from coveflow.core.contacts import AnsweredReport, Contacts
 from coveflow.core.model import Report
 from coveflow.core.redirects import Redirect
 from coveflow.daemon.connectivity import Connectivity
@@ -69,10 +69,10 @@
         owner.around.meters.add("reports")
         if not owner.cancellations.may_renew(now):
             return web.Response(status=503)
-        contact = self.contacts.take(report, now)
+        contact = self.contacts.record(report, now)
         if contact is None:
             return await self._copy(report)
-        self.arrivals.report(now)
+        self.arrivals.record_report(now)
         homes = owner.around.tuning.homes
         redirect = redirects.decide(report, contact, self.links, homes, now)
         if redirect is not None:
@@ -100,7 +100,7 @@
 
     def _redirect(self, redirect: Redirect, report: Report, body: bytes) -> web.Response:
         """Send the worker to another node; the leader hears of its report all the same."""
-        if redirect.report_counts:
+        if redirect.forwards_report:
             if self.owner.leading:
                 self.intake.take_evidence(report)
             else:
@@ -120,28 +120,28 @@
 
     def workers(self) -> int:
         """Number of machines whose reports this node took within the last lease."""
-        return self.contacts.workers(self.clock())
+        return self.contacts.count_workers(self.clock())
 
     def cut(self) -> bool:
         """Whether no worker reaches this node any more, though enough of them should."""
         now = self.clock()
-        workers = self.contacts.workers(now)
-        if self.arrivals.falls_silent(now, workers):
+        workers = self.contacts.count_workers(now)
+        if self.arrivals.detect_cut(now, workers):
             log.warning("cut from workers", machines=workers)
-        return self.arrivals.cut(now)
+        return self.arrivals.is_cut(now)
 
     def unheard(self) -> bool:
         """No report comes any more, of a worker or by a home, as far as the times before tell."""
-        return self.arrivals.silent(self.clock())
+        return self.arrivals.is_silent(self.clock())
 
-    def hears(self) -> dict[str, HeardReport]:
+    def hears(self) -> dict[str, AnsweredReport]:
         """Reports that this node answered itself, by machine, for the leader's check of silence."""
         now = self.clock()
         self.contacts.expire(now)
-        found = self.contacts.heard(now)
+        found = self.contacts.answered_reports(now)
         if self.owner.leading and not self.links.store_fresh(now):
             # Without the store it may be deposed and not know: its workers are not silent.
             for m in self.owner.book.machines.values():
                 if m.counter >= 0 and now - m.last_report_at < self.lease_s:
-                    found[m.id] = HeardReport(now - m.last_report_at, *m.newest_report)
+                    found[m.id] = AnsweredReport(now - m.last_report_at, *m.newest_report)
         return found
--- a/coveflow/daemon/answers.py
+++ b/coveflow/daemon/answers.py
@@ -57,7 +57,7 @@
             return
         orders = self.orders(m, held.report)
         m.last_answered_at = self.around.clock()
-        m.answer_receipt.answered(held.report, orders, m.last_answered_at)
+        m.answer_receipt.record_answer(held.report, orders, m.last_answered_at)
         held.give(self.around.answer(self.book.leading, orders))
 
     def orders(self, m: Machine, report: Report, peek: bool = False) -> list[Order]:
--- a/coveflow/daemon/connectivity.py
+++ b/coveflow/daemon/connectivity.py
@@ -64,20 +64,20 @@
             return False
         return self.peers.refused() and self.store_fresh(now)
 
-    def kept_from_all(self, now: float) -> bool:
+    def isolated_from_nodes(self, now: float) -> bool:
         """Whether it is this node's own ways to the others that are cut, not its zone's.
 
         It hears no other node, one of its own zone included, but the store. Without the store it
         may be the whole zone, and a zone's only controller cannot tell: workers sent away from it
         tried the others in vain, 4 s each, until their leases were over.
         """
-        return bool(self.mates) and self.store_fresh(now) and self.peers.suspicion.alone(now)
+        return bool(self.mates) and self.store_fresh(now) and self.peers.suspicion.isolated(now)
 
     def cut_off(self, now: float) -> bool:
         """Whether this node hears neither the store nor any other node, none of which refuses."""
         return self.store.contact <= now - c.PEER_FRESH_S and self.peers.lost()
 
-    def lost_mates(self) -> list[str]:
+    def lost_zone_nodes(self) -> list[str]:
         """Other nodes of its zone that fell silent together with all others."""
         return self.peers.lost_with_all(self.mates)
 
@@ -105,7 +105,7 @@
         peer = self.peers.get(name)
         if peer is not None and peer.refuses:
             return False
-        word = self.peers.suspicion.word_of(name, now)
+        word = self.peers.suspicion.status_of(name, now)
         if word is None:
             return False
         return name == self.leader or word.heard.get(self.leader, 1e9) <= c.PEER_FRESH_S
--- a/coveflow/daemon/direct.py
+++ b/coveflow/daemon/direct.py
@@ -36,7 +36,7 @@
         """Send the requests that are due; those with stops, and the longest due, first."""
         due: list[tuple[bool, float, str, DirectRequest]] = []
         for m in self.book.machines.values():
-            quiet_s = now - max(m.last_report_at, m.answer_receipt.came)
+            quiet_s = now - max(m.last_report_at, m.answer_receipt.reported_at)
             if quiet_s <= self.late_s or m.id in self.book.drop:
                 self.contacts.pop(m.id, None)
                 continue
--- a/coveflow/daemon/forwarding.py
+++ b/coveflow/daemon/forwarding.py
@@ -10,7 +10,7 @@
 from coveflow import wire
 from coveflow.core import delivery
 from coveflow.core.contacts import Contact
-from coveflow.core.delivery import Way
+from coveflow.core.delivery import DeliveryPath
 from coveflow.core.model import Report
 from coveflow.daemon.connectivity import Connectivity
 from coveflow.daemon.inbox import Inbox
@@ -44,14 +44,14 @@
         self, report: Report, body: bytes, contact: Contact, now: float
     ) -> web.Response:
         """Answer a report that came to the machine's home now."""
-        way = delivery.by_home(contact, self.links, now)
-        if way is Way.BATCH:
+        way = delivery.path_at_home(contact, self.links, now)
+        if way is DeliveryPath.BATCH:
             key = (report.machine, report.tenure, report.counter)
             answer = await self.carrier.ask(key, body, c.CARRY_WAIT_S)
             if answer is not None:
                 return self._passed_on(answer)
-            way = delivery.after_batch(contact, self.links, now, self.clock())
-            if way is Way.KEEP_ALIVE and not self.may_renew():
+            way = delivery.path_after_batch(contact, self.links, now, self.clock())
+            if way is DeliveryPath.KEEP_ALIVE and not self.may_renew():
                 return web.Response(status=503)
         return await self._answer_by(way, report, contact, now)
 
@@ -68,12 +68,12 @@
         self, report: Report, body: bytes, contact: Contact, now: float
     ) -> web.Response:
         """Answer a report that came now where machines have no homes: only the leader takes any."""
-        way = delivery.by_follower(contact, self.links, now)
-        if way is Way.RELAY:
+        way = delivery.path_at_follower(contact, self.links, now)
+        if way is DeliveryPath.RELAY:
             answer = await self._relay(report, body)
             if answer is not None:
                 return self._passed_on(answer)
-            way = delivery.after_relay(self.links, now, self.clock())
+            way = delivery.path_after_relay(self.links, now, self.clock())
         return await self._answer_by(way, report, contact, now)
 
     def stops_only(self, report: Report) -> web.Response:
@@ -94,16 +94,16 @@
         return answer if status == 200 else None
 
     async def _answer_by(
-        self, way: Way, report: Report, contact: Contact, now: float
+        self, way: DeliveryPath, report: Report, contact: Contact, now: float
     ) -> web.Response:
         """Answer a report by a way on which the leader itself does not answer."""
-        if way is Way.REDIRECT:
+        if way is DeliveryPath.REDIRECT:
             return web.Response(status=421, body=wire.redirect_answer(self.links.leader))
-        if way is Way.MAILBOX:
+        if way is DeliveryPath.MAILBOX:
             has_end = any(task.state == "exited" for task in report.tasks)
-            if delivery.mailed(contact, has_end, now):
+            if delivery.admit_to_mailbox(contact, has_end, now):
                 answer = await self.mailbox.ask(report, has_end)
                 if answer is not None:
                     return self._passed_on(answer)
-        contact.kept_alive_at = now
+        contact.locally_renewed_at = now
         return self.stops_only(report)
--- a/coveflow/daemon/inbox.py
+++ b/coveflow/daemon/inbox.py
@@ -117,7 +117,7 @@
             return
         if entry.cancelled is None:
             # An older row came after the news.
-            entry.cancelled = self.cancellations.since(name)
+            entry.cancelled = self.cancellations.cancelled_at(name)
             entry.told = entry.cancelled is not None
         self.accepted[name] = entry
         self.on_job(entry)
@@ -129,7 +129,7 @@
         for name in jobs:
             entry = self.accepted.get(name)
             if entry is not None and entry.cancelled is None:
-                cancelled = self.cancellations.since(name)
+                cancelled = self.cancellations.cancelled_at(name)
                 # A new one: a poll under way compares the one that it asked the store about.
                 entry = self.accepted[name] = msgspec.structs.replace(
                     entry, cancelled=cancelled, told=True
@@ -147,7 +147,7 @@
 
     def stops(self, report: Report) -> list[Order]:
         """Stops of all that the report names of cancelled jobs, which any 200 has to bring."""
-        return leases.stops(report, self.cancelled)
+        return leases.stop_orders(report, self.cancelled)
 
     def remember_terminal(self, job: str, record: dict[str, Any]) -> None:
         """A final state never changes, so it may be told without asking again."""
--- a/coveflow/daemon/intake.py
+++ b/coveflow/daemon/intake.py
@@ -73,7 +73,7 @@
             redirected = list(data.get("seen") or ())  # reports whose workers were sent elsewhere
         except (wire.Malformed, KeyError, TypeError):
             return 400, b""
-        self.arrivals.batch(self.clock())
+        self.arrivals.record_batch(self.clock())
         for report in self.unreadable.readable(bodies):
             key = (report.machine, report.tenure, report.counter)
             self.owner.put(Heard(report, self.inlet.promise(boot, key)))
--- a/coveflow/daemon/keeper.py
+++ b/coveflow/daemon/keeper.py
@@ -9,7 +9,7 @@
 from coveflow.core import planner_state
 from coveflow.core.fleet import RentalRequest
 from coveflow.core.model import ListedMachine, Machine, Placement
-from coveflow.core.zones import GONE, Seen, Zones
+from coveflow.core.zones import GONE, ZoneSample, ZoneTracker
 from coveflow.daemon.around import Around
 from coveflow.daemon.book import Book
 from coveflow.daemon.commands import Drain
@@ -30,7 +30,7 @@
         self.params = around.settings.params
         self.goals = planner_state.goals_by_class(self.params.objectives)
         workers = self.params.workers
-        self.zones = Zones(workers.cancel_s - c.CONTACT_MARGIN_S + c.SILENT_MARGIN_S)
+        self.zones = ZoneTracker(workers.cancel_s - c.CONTACT_MARGIN_S + c.SILENT_MARGIN_S)
         self.ticked: float | None = None
         self.many_deaf_at = -math.inf  # when many machines seemed deaf for the last time
         self.woke = -math.inf  # when this process went on after it had stood still
@@ -39,7 +39,7 @@
         """Ask for what the last plan lacks, give back what is idle, move what pays to move."""
         book, tuning = self.book, self.around.tuning
         book.fleet_due = False
-        shut = self.zones.cut_off()
+        shut = self.zones.unreachable()
         live = {
             name for name in self.goals if name in book.coming and book.coming[name].is_active(now)
         }
@@ -217,11 +217,11 @@
         lease_s = self.params.workers.lease_s
         quiet = now - max(m.last_report_at, m.last_vouched_at, self.woke)
         if quiet > c.NOTICE_SILENT_S:  # hardly any is, and only those cost another look
-            quiet = min(quiet, now - self.zones.heard_again(m.zone))
+            quiet = min(quiet, now - self.zones.heard_again_at(m.zone))
         if quiet <= c.NOTICE_SILENT_S:  # the shortest of all patiences
             return False
         late = quiet > (lease_s + c.SILENT_MARGIN_S if m.counter >= 0 else unheard_s)
-        late = late and not self.zones.put_off(m.zone)
+        late = late and not self.zones.defers_release(m.zone)
         late = late and not self._may_be_deaf(m, now, many_deaf)
         return (late or taken) and not self.around.peer_hears(m.id, lease_s, m.newest_report)
 
@@ -233,11 +233,13 @@
         leader could tell that it is deaf.
         """
         hearing = m.answer_receipt
-        if now - hearing.came >= self.book.patience:
+        if now - hearing.reported_at >= self.book.patience:
             return False
-        answered = now - hearing.at < c.DEAF_GIVE_UP_S  # and had no time yet to show that it heard
-        paced = hearing.paced and (hearing.doubted or answered)
-        return m.id in many_deaf or hearing.trust > 0 or paced
+        answered = (
+            now - hearing.answered_at < c.DEAF_GIVE_UP_S
+        )  # and had no time yet to show that it heard
+        paced = hearing.after_timeout and (hearing.suspected or answered)
+        return m.id in many_deaf or hearing.task_limit > 0 or paced
 
     def _many_deaf(self) -> tuple[set[str], int]:
         """Machines that seem deaf, where many do: the way to them is cut, and that comes back.
@@ -245,7 +247,7 @@
         With it how many may go back at a time.
         """
         machines = self.book.machines.values()
-        deaf = {m.id for m in machines if m.answer_receipt.doubtful}
+        deaf = {m.id for m in machines if m.answer_receipt.excluded_from_work}
         most = max(1, int(c.DEAF_PART * len(machines)))
         return (deaf if len(deaf) > most else set(), most)
 
@@ -256,9 +258,9 @@
             self.many_deaf_at = now
         wait_s = self.params.workers.lease_s * (c.DEAF_MANY_LEASES if many else c.DEAF_LEASES)
         deaf = [
-            (m.answer_receipt.deaf_since, m.id, m.returning)
+            (m.answer_receipt.not_receiving_since, m.id, m.returning)
             for m in self.book.machines.values()
-            if m.answer_receipt.deaf_since is not None
+            if m.answer_receipt.not_receiving_since is not None
         ]
         # The last of many to hear again were given back as if they had been few from the beginning.
         few_since = -math.inf if many else self.many_deaf_at
@@ -276,30 +278,30 @@
             return (-due, m.cpus - m.flavor.cpus, m.id)
 
         left = [m for m in machines if m.id not in chosen]
-        going = sorted(left, key=worth)[: int(zone.allowance)]
-        zone.allowance -= len(going)
+        going = sorted(left, key=worth)[: int(zone.release_allowance)]
+        zone.release_allowance -= len(going)
         return [m.id for m in going]
 
     def _look_at_zones(self, now: float) -> None:
         """Judge each zone by who is heard there, and tell of what changed."""
-        seen = {name: Seen() for name in self.params.zones}
+        seen = {name: ZoneSample() for name in self.params.zones}
         quiet_s = 2 * self.params.workers.report_s + c.ZONE_QUIET_S
         for m in self.book.machines.values():
             if m.returning:
                 continue
-            of = seen.setdefault(m.zone, Seen())
+            of = seen.setdefault(m.zone, ZoneSample())
             heard = max(m.last_report_at, m.last_vouched_at)
             of.machines += 1
-            of.quiet += now - heard > quiet_s
-            of.last = max(of.last, heard)
+            of.silent_machines += now - heard > quiet_s
+            of.last_heard = max(of.last_heard, heard)
         for member in self.around.settings.members:
             if member.zone in seen and member.name != self.around.settings.name:
-                seen[member.zone].inside += not self.around.peer_fresh(member.name)
-        for name, zone, before in self.zones.look(now, seen):
+                seen[member.zone].lost_controllers += not self.around.peer_fresh(member.name)
+        for name, zone, before in self.zones.update(now, seen):
             of = seen[name]
             log.warning(
-                "zone", zone=name, state=zone.state, before=before, silent=of.quiet,
-                machines=of.machines, inside=of.inside, for_s=round(now - zone.cut_at, 1),
+                "zone", zone=name, state=zone.state, before=before, silent=of.silent_machines,
+                machines=of.machines, inside=of.lost_controllers, for_s=round(now - zone.cut_at, 1),
             )  # fmt: skip
             self.book.fleet_due = True
 
--- a/coveflow/daemon/mailbox.py
+++ b/coveflow/daemon/mailbox.py
@@ -161,7 +161,7 @@
             return []
         self.vouched_at = now
         most = self.room // (2 * c.NAME_BYTES)
-        return list(self.contacts.kept_alive(now, c.MAIL_ALIVE_S))[:most]
+        return list(self.contacts.locally_renewed(now, c.MAIL_ALIVE_S))[:most]
 
     async def _write(self, mail: Mail) -> None:
         """Guarded by the last mail's revision: one that the store carries out late, after newer
--- a/coveflow/daemon/node.py
+++ b/coveflow/daemon/node.py
@@ -14,7 +14,7 @@
 
 from coveflow import constants as c
 from coveflow.core import fleet, overload
-from coveflow.core.suspicion import Slow, Word, succession
+from coveflow.core.failure_detector import NodeStatus, SlowLeaderHandover, leadership_order
 from coveflow.daemon import commands as cm
 from coveflow.daemon import owner as o
 from coveflow.daemon.agents import Agents
@@ -120,12 +120,12 @@
         self.peers.asked_of = dict.fromkeys(PATHS, Operators(self.owner).handle)
         self.peers.asked_of[CARRY] = self.agents.intake.batch
         self.began = self.clock()
-        self.lateness = Slow()
+        self.lateness = SlowLeaderHandover()
         self.pace_s = 0.0  # how late this node's timers fire, fading
-        self.compute_pace = overload.ComputePace()
+        self.compute_pace = overload.ComputeSpeed()
         if tuning.trace:
             self.owner.around.trace = Tracer(tuning.trace, self.clock, self.wall, self.peers.boot)
-        self.membership.on_contact = self.owner.cancellations.store_answered
+        self.membership.on_contact = self.owner.cancellations.record_store_contact
         self.owner.around.effects = self.effect
         self.owner.around.peer_hears = self.peers.hears
         self.owner.around.peers_known = self.peers.all_fresh
@@ -147,23 +147,25 @@
             "view_rev": self.owner.inbox.view.rev,
             "leading": bool(self.owner.leading),
             "store_age": now - self.store.contact,
-            "cancelled": (cancelled := self.owner.cancellations.word(now)),
+            "cancelled": (cancelled := self.owner.cancellations.recently_confirmed(now)),
             "cancels": list(cancelled),  # what builds before knew, and cannot do without
             "hears": self.agents.hears(),
             "counts": self.owner.counts if self.owner.leading else {},
             "word": msgspec.to_builtins(self.word()),
         }
 
-    def word(self) -> Word:
+    def word(self) -> NodeStatus:
         """What this node says of itself."""
         now = self.clock()
-        return Word(
+        return NodeStatus(
             pace_s=round(self.pace_s, 3),
             store_s=round(now - max(self.store.contact, self.began), 3),
             workers=self.agents.workers(),
             cut=self.agents.cut(),
-            heard={name: round(age, 3) for name, age in self.peers.suspicion.heard(now).items()},
-            compute_s=self.compute_pace.least_s(),
+            heard={
+                name: round(age, 3) for name, age in self.peers.suspicion.contact_ages(now).items()
+            },
+            compute_s=self.compute_pace.best_s(),
         )
 
     def viewed(self, view: dict[str, Any], rev: int) -> None:
@@ -180,39 +182,39 @@
         others = any(name != self.settings.name for name in self.owner.inbox.members)
         if not others:
             return False
-        if suspicion.alone(now):
+        if suspicion.isolated(now):
             return self.agents.unheard()
         # No peer was ever heard: this process began within the cut, or before the others.
-        quiet = now - max(self.agents.arrivals.reported_at, self.peers.heard_at)
-        return quiet > ISOLATED_S and not any(map(suspicion.reachable, suspicion.subjects))
+        quiet = now - max(self.agents.arrivals.last_report_at, self.peers.heard_at)
+        return quiet > ISOLATED_S and not any(map(suspicion.reachable, suspicion.nodes))
 
     def order(self) -> list[str]:
         """Members in the order in which they should lead, as far as this node knows."""
         now, me = self.clock(), self.settings.name
         members = self.owner.inbox.members
-        return succession(me, self.word(), members, self.peers.suspicion, now)
+        return leadership_order(me, self.word(), members, self.peers.suspicion, now)
 
     def slow(self) -> bool:
         """Whether this leader is late with everything, while another node is not."""
         now, suspicion = self.clock(), self.peers.suspicion
         words = [
-            suspicion.word_of(name, now)
+            suspicion.status_of(name, now)
             for name in self.owner.inbox.members
             if suspicion.reachable(name)
         ]
         best = min((word.pace_s for word in words if word is not None), default=None)
-        return self.lateness.look(now, self.pace_s, best, self._full_of_work(words))
+        return self.lateness.should_hand_over(now, self.pace_s, best, self._full_of_work(words))
 
-    def _full_of_work(self, words: list[Word | None]) -> bool:
+    def _full_of_work(self, words: list[NodeStatus | None]) -> bool:
         """Whether its own work makes this node late, rather than a slow processor."""
         others = [word.compute_s for word in words if word is not None and word.compute_s > 0.0]
-        share = self.owner.busy.look(self.clock())
-        return overload.overloaded(share, self.compute_pace.least_s(), min(others, default=0.0))
+        share = self.owner.busy.update(self.clock())
+        return overload.overloaded(share, self.compute_pace.best_s(), min(others, default=0.0))
 
     def _time_computing(self) -> None:
         began = self.clock()
-        overload.fixed_computation()
-        self.compute_pace.tried(self.clock() - began)
+        overload.reference_computation()
+        self.compute_pace.add_sample(self.clock() - began)
 
     # --- effects -----------------------------------------------------------------------
 
--- a/coveflow/daemon/owner.py
+++ b/coveflow/daemon/owner.py
@@ -153,7 +153,7 @@
         self._work(batch)
         took = self.around.clock() - began
         reports = sum(isinstance(command, Heard) for command in batch)
-        self.busy.worked(self.around.batch_s(reports, took))
+        self.busy.add_busy_time(self.around.batch_s(reports, took))
 
     def _work(self, batch: list[Command]) -> None:
         for command in batch:
@@ -231,7 +231,7 @@
     def _peer_word(self, command: PeerWord) -> None:
         now = self.around.clock()
         self.inbox.told_cancelled(
-            self.cancellations.peer_told(
+            self.cancellations.record_peer_list(
                 command.name, command.process, command.jobs, command.sent, now
             )
         )
--- a/coveflow/daemon/reports.py
+++ b/coveflow/daemon/reports.py
@@ -84,11 +84,14 @@
             self._spare(m)
         self._drain(m, now)
         if not command.asked:
-            m.answer_receipt.sent_away(report, now)
+            m.answer_receipt.record_redirect(report, now)
             reply.set_result(None)
             return
         patient = (
-            command.patient and not m.answer_receipt.missed and not m.answer_receipt.deaf and alive
+            command.patient
+            and not m.answer_receipt.missed_answers
+            and not m.answer_receipt.not_receiving
+            and alive
         )
         self.answers.answer_or_hold(m, report, reply, news, now, patient)
 
@@ -110,7 +113,7 @@
                 m.last_report_at, now - self.book.patience
             )  # no work until it reports
         if self._rose(m, report):
-            m.answer_receipt.session_ended(self.params.workers.lease_s, now)
+            m.answer_receipt.record_session_end(self.params.workers.lease_s, now)
         m.counter, m.epoch, m.last_vouched_at = report.counter, report.epoch, now
         if self._tasks(m, report, now, absence=False):
             self.book.pass_due = True
@@ -185,14 +188,14 @@
     def _listens(self, m: Machine, report: Report, rose: bool, asked: bool, now: float) -> None:
         """Whether what it is told reaches the machine; if not, what never began there goes on."""
         hearing, lease_s = m.answer_receipt, self.params.workers.lease_s
-        if hearing.reported(report, rose, asked, lease_s, self.book.leading, now):
+        if hearing.record_report(report, rose, asked, lease_s, self.book.leading, now):
             log.warning(
-                "machine does not hear" if hearing.deaf else "machine hears again",
+                "machine does not hear" if hearing.not_receiving else "machine hears again",
                 machine=m.id, tasks=len(m.placements), tenure=report.tenure,
             )  # fmt: skip
-            self.book.tell("deaf" if hearing.deaf else "hears", machine=m.id)
+            self.book.tell("deaf" if hearing.not_receiving else "hears", machine=m.id)
             self.book.pass_due = True
-        if hearing.deaf:
+        if hearing.not_receiving:
             # Their absence, in a report later than the answer that told of them, is the proof.
             for p in m.placements.values():
                 if not p.state and not p.stopping:
--- a/coveflow/daemon/submissions.py
+++ b/coveflow/daemon/submissions.py
@@ -52,7 +52,7 @@
         self, store: Store, txn_ops: int, clock: Callable[[], float], meters: Meters
     ) -> None:
         self.store, self.txn_ops, self.clock, self.meters = store, txn_ops, clock, meters
-        self.waiting: admission.Queue[Submission] = admission.Queue()
+        self.waiting: admission.FairQueue[Submission] = admission.FairQueue()
         self.writer: asyncio.Task[None] | None = None
 
     async def write(self, job: str, record: Any, flow: admission.Flow) -> int | None:
@@ -63,7 +63,7 @@
         rate = self.store.changes.rate
         bound = max(c.SUBMIT_LEAST, int(rate * c.SUBMIT_WAIT_S))
         waiting, teams = len(self.waiting), len(self.waiting.teams.keys() | {flow[0]})
-        if not admission.admits(waiting, self.waiting.of(flow[0]), teams, bound):
+        if not admission.admits(waiting, self.waiting.waiting_of(flow[0]), teams, bound):
             self.meters.add("submissions refused")
             raise TooMany(admission.retry_after_s(waiting, rate, random.random()))
         submission = Submission(job, record, asyncio.get_running_loop().create_future())
--- a/coveflow/daemon/user_jobs.py
+++ b/coveflow/daemon/user_jobs.py
@@ -173,7 +173,7 @@
             return final
         if found is None:
             found = inbox.accepted.get(name)
-        since = self.owner.cancellations.since(name)
+        since = self.owner.cancellations.cancelled_at(name)
         if found is not None and found.cancelled is None and since is not None:
             found = msgspec.structs.replace(found, cancelled=since)
         if found is not None and found.cancelled is not None:
--- a/coveflow/lab/choices.py
+++ b/coveflow/lab/choices.py
@@ -223,14 +223,14 @@
             lambda name: False, lambda: self.now, "",
         )  # fmt: skip
         membership.lease = 1
-        membership.on_contact = owner.cancellations.store_answered
+        membership.on_contact = owner.cancellations.record_store_contact
         self.boots += 1
         node = Node(name, owner, membership, self.store.rev, f"process-{self.boots}")
         owner.around.effects = lambda kind, data: self._effect(node, kind, data)
         owner.around.answer = lambda epoch, orders: (epoch, orders)
         owner.around.pass_s = lambda plan, measured_s: 0.0
         owner.work([cm.InboxRows(self._rows(sk.INBOX), listed=self.store.rev)])
-        owner.cancellations.store_answered(self.now)
+        owner.cancellations.record_store_contact(self.now)
         return node
 
     def _rows(self, prefix: str) -> list[tuple[str, Any, int]]:
@@ -283,7 +283,7 @@
             if self.store.rev > node.seen:
                 found.append(("watch", name))
             if left["word"]:
-                if node.owner.cancellations.store_at < self.now:
+                if node.owner.cancellations.store_known_until < self.now:
                     found.append(("word", name, ""))  # of the store, that nothing changed
                 found += [("word", name, other) for other in self.nodes if other != name]
             if self.judged and left["cancel"] and self.store.get(sk.JOB + JOB) is not None:
@@ -388,7 +388,7 @@
         events = self.store.events(sk.INBOX, node.seen)
         node.seen = self.store.rev
         node.owner.work([cm.InboxRows(copy.deepcopy(events))])
-        node.owner.cancellations.store_answered(self.now)
+        node.owner.cancellations.record_store_contact(self.now)
 
     def _do_word(self, name: str, other: str) -> None:
         """One node asks another what it confirmed to users, or the store, and hears it at once."""
@@ -396,7 +396,9 @@
             self._do_watch(name)
             return
         asked = self.nodes[other]
-        word = cm.PeerWord(other, asked.process, asked.owner.cancellations.word(self.now), self.now)
+        word = cm.PeerWord(
+            other, asked.process, asked.owner.cancellations.recently_confirmed(self.now), self.now
+        )
         self.nodes[name].owner.work([word])
 
     def _do_time(self, name: str) -> None:
@@ -571,9 +573,9 @@
         for name, node in sorted(self.nodes.items()):
             book, inbox = node.owner.book, node.owner.inbox
             known = node.owner.cancellations
-            parts.append([[word.process, word.since, word.at, word.whole]
-                          for word in known.words.values()])  # fmt: skip
-            parts.append([known.store_at, list(known.known), list(known.confirmed)])
+            parts.append([[word.process, word.first_heard_at, word.at, word.whole]
+                          for word in known.peers.values()])  # fmt: skip
+            parts.append([known.store_known_until, list(known.known), list(known.confirmed)])
             parts.append([
                 name, node.seen, book.leading, book.rev, inbox.view.epoch, inbox.view.leader,
                 sorted(inbox.members), book.records.seq, list(book.dirty_machines),
--- a/coveflow/lab/planted.py
+++ b/coveflow/lab/planted.py
@@ -162,14 +162,14 @@
 
 def any_process_trusted() -> contextlib.AbstractContextManager[None]:
     """A peer's word counts from the first on, whatever an earlier process of it confirmed."""
-    honest = Cancellations.peer_told
+    honest = Cancellations.record_peer_list
 
     def told(self: Cancellations, name: str, *more: Any) -> Any:
         news = honest(self, name, *more)
-        self.words[name].whole = True
+        self.peers[name].whole = True
         return news
 
-    return _patched(Cancellations, "peer_told", told)
+    return _patched(Cancellations, "record_peer_list", told)
 
 
 def lease_forgotten() -> contextlib.AbstractContextManager[None]:
--- a/coveflow/lab/suspect.py
+++ b/coveflow/lab/suspect.py
@@ -17,7 +17,7 @@
 import numpy as np
 
 from coveflow import constants as c
-from coveflow.core.suspicion import Accrual
+from coveflow.core.failure_detector import AccrualDetector
 
 RTO_S = 0.2  # s until a lost packet is sent again, doubled each time
 LOOK_S = 0.1  # s between looks, as in the daemon
@@ -101,30 +101,33 @@
     return (sent + trips)[good]
 
 
-def false_doubts(seen: np.ndarray, raised: Callable[[float, Accrual], bool]) -> int:
+def false_doubts(seen: np.ndarray, raised: Callable[[float, AccrualDetector], bool]) -> int:
     """How often a detector doubted a node that was alive all along."""
-    link, count, at = Accrual(c.PING_S, c.DOUBT_FLOOR_S), 0, float(seen[0])
-    link.seen(at)
+    link, count, at = AccrualDetector(c.PING_S, c.DOUBT_FLOOR_S), 0, float(seen[0])
+    link.record(at)
     for moment in seen[1:].tolist():
         # The last look before the answer is the one at which the silence was longest.
         looked = at + LOOK_S * int((moment - at) / LOOK_S - 1e-9)
         doubted = looked > at and raised(looked, link)
         count += doubted
-        link.seen(moment, ordinary=not doubted)
+        link.record(moment, count_interval=not doubted)
         at = moment
     return count
 
 
 def delays(
-    seen: np.ndarray, ends: np.ndarray, raised: Callable[[float, Accrual], bool], more_s: float
+    seen: np.ndarray,
+    ends: np.ndarray,
+    raised: Callable[[float, AccrualDetector], bool],
+    more_s: float,
 ) -> list[float]:
     """s from each end of a node, at some moment of the trace, to the doubt."""
     found = []
     for end in ends.tolist():
         last = int(np.searchsorted(seen, end))
-        link = Accrual(c.PING_S, c.DOUBT_FLOOR_S)
+        link = AccrualDetector(c.PING_S, c.DOUBT_FLOOR_S)
         for moment in seen[max(0, last - c.DOUBT_WINDOW) : last].tolist():
-            link.seen(moment)
+            link.record(moment)
         at = end
         while not raised(at, link) and at < end + 60.0:
             at += LOOK_S
@@ -132,11 +135,11 @@
     return found
 
 
-def fixed(at: float, link: Accrual) -> bool:
-    return link.last is not None and at - link.last > c.PEER_FRESH_S
+def fixed(at: float, link: AccrualDetector) -> bool:
+    return link.last_seen is not None and at - link.last_seen > c.PEER_FRESH_S
 
 
-def accrual(at: float, link: Accrual) -> bool:
+def accrual(at: float, link: AccrualDetector) -> bool:
     return link.level(at) >= c.DOUBT_RAISE
 
 
--- a/coveflow/lab/worlds.py
+++ b/coveflow/lab/worlds.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from coveflow.core.model import Spec
-from coveflow.core.zones import Zones
+from coveflow.core.zones import ZoneTracker
 from coveflow.lab import rooms, troubles
 from coveflow.lab import site as sites
 from coveflow.lab.cases import Case, ends, meetings, nights, rushes, zones
@@ -86,11 +86,11 @@
 @contextlib.contextmanager
 def _no_zones() -> Iterator[None]:
     """The keeper as it was before it knew zones."""
-    real, Zones.look = Zones.look, lambda self, now, seen: []  # type: ignore[method-assign]
+    real, ZoneTracker.update = ZoneTracker.update, lambda self, now, seen: []  # type: ignore[method-assign]
     try:
         yield
     finally:
-        Zones.look = real  # type: ignore[method-assign]
+        ZoneTracker.update = real  # type: ignore[method-assign]
 
 
 Plain = Callable[[], contextlib.AbstractContextManager[None]]
--- a/coveflow/membership/lead.py
+++ b/coveflow/membership/lead.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from coveflow import constants as c
-from coveflow.core.suspicion import Leaving
+from coveflow.core.failure_detector import LeaveBackoff
 from coveflow.logs import Log
 from coveflow.membership.seat import Row, Seat
 from coveflow.net.http import Unavailable, Unsure
@@ -39,7 +39,7 @@
         self.isolated = isolated  # its ways are cut, while others could do better
         self.order = order  # members in the order in which they should try to lead
         self.slow = slow  # it is late with everything, and another is not
-        self.leaving = Leaving()
+        self.leaving = LeaveBackoff()
         self.absent_since: float | None = None  # since when no member leads
         self.known_at = -1e9  # every cancellation committed before this is known here
         self.on_contact: Callable[[float], None] = lambda sent: None
@@ -75,7 +75,7 @@
 
     async def _leave_the_lead_if_unfit(self) -> None:
         """Hand the lead over where another node could do better."""
-        out = self.leaving.look(self.clock(), self.isolated())
+        out = self.leaving.update(self.clock(), self.isolated())
         why = ""
         if self.seat.leading and out:
             # It reaches the store but neither workers nor peers: others must lead.
--- a/coveflow/membership/peers.py
+++ b/coveflow/membership/peers.py
@@ -14,7 +14,7 @@
 
 from coveflow import constants as c
 from coveflow import wire
-from coveflow.core.suspicion import Suspicion
+from coveflow.core.failure_detector import FailureDetector
 from coveflow.logs import Log, Seldom
 from coveflow.net.http import Client, Refused, Unavailable
 from coveflow.settings import Member, Settings
@@ -104,10 +104,10 @@
         self.on_view, self.leader, self.on_word = on_view, leader, on_word
         self.on_counts = on_counts
         self.boot = uuid.uuid4().hex
-        self.suspicion = Suspicion(
+        self.suspicion = FailureDetector(
             settings.name, (member.name for member in settings.members), c.PING_S, clock()
         )
-        self.suspicion.every_s = self._every_s
+        self.suspicion.ping_interval_s = self._every_s
         self.peers = {
             member.name: Peer(member, Client(session, member.address))
             for member in settings.members
@@ -158,7 +158,7 @@
         """Whether nothing is heard of any other node, none of which refuses, for a while."""
         now = self.clock()
         since = [self.suspicion.silent_since(name) for name in self.peers]
-        if not self.suspicion.alone(now) or any(peer.refuses for peer in self.peers.values()):
+        if not self.suspicion.isolated(now) or any(peer.refuses for peer in self.peers.values()):
             return False
         return all(at is not None and now - at >= LOST_S for at in since)
 
@@ -168,17 +168,17 @@
         Nodes of the same zone that were heard to the last show that it is not the zone that is cut,
         but this node's own ways. Mates that had ended before show nothing.
         """
-        ages = self.suspicion.heard(self.clock())
+        ages = self.suspicion.contact_ages(self.clock())
         first = min(ages.values(), default=0.0)
         return [mate for mate in mates if ages.get(mate, 1e9) - first < LOST_TOGETHER_S]
 
     def look(self) -> None:
         """Raise and drop doubts by what came in; each change is told in the log."""
-        for name, doubt, there in self.suspicion.look(self.clock()):
+        for name, doubt, there in self.suspicion.update(self.clock()):
             if there:
-                log.info("doubt", node=name, why=doubt.why, by=doubt.by)
+                log.info("doubt", node=name, why=doubt.reason, by=doubt.reporter)
             else:
-                log.info("doubt over", node=name, why=doubt.why)
+                log.info("doubt over", node=name, why=doubt.reason)
 
     async def run(self, peer: Peer) -> None:
         # Only the answer counts as its word: a request may have been held back on its way.
@@ -233,9 +233,9 @@
         self.on_counts(name, info.counts)
         peer.answered = max(peer.answered, sent)
         self.heard_at = now = self.clock()
-        self.suspicion.alive(name, now)
-        self.suspicion.booted(name, info.boot, now)
-        self.suspicion.said(name, info.word or {}, now)
+        self.suspicion.record_contact(name, now)
+        self.suspicion.record_process(name, info.boot, now)
+        self.suspicion.record_status(name, info.word or {}, now)
 
     def _unread(self, name: str, why: object) -> None:
         count = self.unreadable.due(self.clock())
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Whose submission is written next, and what the others are told."""
+"""Admission control: order of submissions, and refusals with Retry-After."""
 
 import asyncio
 from functools import partial
@@ -14,32 +14,32 @@
 FLOWS = st.tuples(st.sampled_from("abcd"), st.sampled_from(["x", "y", "z"]))
 
 
-def new(names: set[int], entry) -> bool:
+def is_new(names: set[int], entry) -> bool:
     fits = entry[2] not in names
     names.add(entry[2])
     return fits
 
 
 @given(st.lists(st.tuples(FLOWS, st.integers(0, 3)), max_size=60), st.integers(1, 8))
-def test_nothing_is_lost_and_each_class_keeps_its_order(rows, most):
-    queue, taken = admission.Queue(), []
+def test_no_entry_is_lost_and_each_class_keeps_its_order(rows, most):
+    queue, taken = admission.FairQueue(), []
     for i, (flow, name) in enumerate(rows):
         queue.add(flow, (flow, i, name))
     while queue:
-        batch = queue.take(most, partial(new, set()))
+        batch = queue.take(most, partial(is_new, set()))
         assert batch and len(batch) <= most
         assert len({name for _, _, name in batch}) == len(batch)
         taken += batch
     assert len(taken) == len(rows)
     for flow in {flow for flow, _ in rows}:
-        mine = [i for of, i, _ in taken if of == flow]
-        assert mine == sorted(mine)
+        indices = [i for of, i, _ in taken if of == flow]
+        assert indices == sorted(indices)
 
 
 @given(st.integers(1, 500), st.integers(1, 5))
-def test_a_team_that_sends_fifty_times_its_share_waits_for_itself(flood, few):
-    queue = admission.Queue()
-    for i in range(flood):
+def test_a_flooding_team_delays_only_itself(many, few):
+    queue = admission.FairQueue()
+    for i in range(many):
         queue.add(("a", "x"), ("a", i))
     for i in range(few):
         queue.add(("b", f"class-{i}"), ("b", i))
@@ -47,7 +47,7 @@
     assert sum(team == "b" for team, _ in first) == few
 
 
-def test_a_full_queue_has_room_for_a_team_that_has_less_than_its_part():
+def test_a_full_queue_accepts_a_team_below_its_share():
     assert admission.admits(9, 9, 1, 10) and not admission.admits(10, 10, 1, 10)
     assert admission.admits(10, 0, 2, 10) and admission.admits(14, 4, 2, 10)
     assert not admission.admits(15, 5, 2, 10) and not admission.admits(20, 0, 2, 10)
@@ -56,8 +56,8 @@
     assert admission.retry_after_s(0, 10.0, 0.5) == 1
 
 
-def test_more_submissions_than_can_be_written_are_told_when_to_come_again():
-    """A silent wait into 5 s is the user's next retry; one team's flood keeps no other out."""
+def test_excess_submissions_are_refused_with_retry_after():
+    """Users retry after 5 s without an answer; one team's flood must not shut out another team."""
     f = front()
     f.store.changes = Bucket(4.0, lambda: 0.0)
     refused: list[int] = []
@@ -73,16 +73,16 @@
         except Exception as error:
             refused.append((team, error.after_s))
 
-    async def play() -> None:
+    async def run() -> None:
         tasks = [asyncio.create_task(send(f"j-{i}", "a")) for i in range(100)]
         await asyncio.sleep(0)
         tasks += [asyncio.create_task(send("j-200", "b"))]
         await asyncio.sleep(0.01)
-        assert f.jobs.submissions.waiting.of("b") == 1  # it waits, first in line
+        assert f.jobs.submissions.waiting.waiting_of("b") == 1  # queued, not refused
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    asyncio.run(play())
+    asyncio.run(run())
     assert len(refused) > 60 and {team for team, _ in refused} == {"a"}
     assert all(3 <= after <= 6 for _, after in refused)
--- a/tests/test_agents.py
+++ b/tests/test_agents.py
@@ -11,7 +11,7 @@
 from coveflow import constants as c
 from coveflow import wire
 from coveflow.core import delivery, leases
-from coveflow.core.cancellations import Cancellations, Word
+from coveflow.core.cancellations import Cancellations, PeerConfirmations
 from coveflow.core.contacts import NEVER, Contact
 from coveflow.core.model import Machine, Order
 from coveflow.daemon import commands as cm
@@ -57,8 +57,8 @@
     owner.inbox.view = sk.View(3, "a", ["a", "b"], 1)
     store = Mailbox(answer)
     peers = Peers(settings, None, clock, dict, None)
-    peers.suspicion.began = clock() - 60.0  # it never heard the leader in all that time
-    owner.cancellations.store_answered(100.0)
+    peers.suspicion.started_at = clock() - 60.0  # it never heard the leader in all that time
+    owner.cancellations.record_store_contact(100.0)
     store.agents = Agents(settings, owner, peers, clock, store)
     return store.agents
 
@@ -112,7 +112,7 @@
 
 def hear_the_leader(agents, now) -> None:
     """It is heard, and gives no answer for as long as a report waits for one."""
-    agents.links.peers.suspicion.began = now.t
+    agents.links.peers.suspicion.started_at = now.t
 
     async def ask(*_):
         now.t += c.CARRY_WAIT_S
@@ -185,7 +185,7 @@
         return beat(agents, pieces=pieces)["orders"]
 
     assert orders() == [{"verb": "stop", "piece": "j-000001/0", "try": 1, "wind_down_s": 0.0}]
-    monkeypatch.setattr(leases, "stops", lambda report, cancelled: [])
+    monkeypatch.setattr(leases, "stop_orders", lambda report, cancelled: [])
     assert orders() == []
 
 
@@ -264,7 +264,7 @@
 
     def report(counter: int) -> set[int]:
         now.t += 1.0
-        peers.suspicion.began = now.t
+        peers.suspicion.started_at = now.t
         beats = [BEAT | {"host": f"n-{i}", "counter": counter} for i in range(c.CUT_MACHINES)]
         return {asyncio.run(agents.handle(cbor2.dumps(beat))).status for beat in beats}
 
@@ -288,7 +288,7 @@
     lead(agents, now)
     for i in range(300):
         now.t += 1.0
-        agents.owner.cancellations.store_answered(now.t)
+        agents.owner.cancellations.record_store_contact(now.t)
         beat(agents, host=f"n-{i}", counter=i)
     assert len(agents.contacts.by_machine) < 5 * LEASE_S
 
@@ -327,7 +327,7 @@
 
     agents.store.sure_commit = sure_commit
     for i in range(200):
-        alive = Contact(1, 1, 100.0, kept_alive_at=100.0)
+        alive = Contact(1, 1, 100.0, locally_renewed_at=100.0)
         agents.contacts.by_machine[f"n-00{i:04}-of-a-long-name"] = alive
 
     def body(host: str, tasks: int) -> bytes:
@@ -342,7 +342,7 @@
     asyncio.run(play())
     assert [list(mail["reports"]) for mail in written] == [[], ["n-2"], ["n-3"]]
     assert len(written[0]["alive"]) > 100
-    assert agents.contacts.by_machine["n-1"].kept_alive_at == 100.0
+    assert agents.contacts.by_machine["n-1"].locally_renewed_at == 100.0
 
 
 def test_an_answer_too_large_for_the_reply_keeps_no_others_from_it():
@@ -424,7 +424,9 @@
     assert beat(agents) == {"epoch": 3, "orders": []}
     assert (relayed, mailed, now.t) == ([RELAY], [], 102.0)
     # Without a look at the time that is left it goes by mail as well.
-    monkeypatch.setattr(delivery, "after_relay", lambda link, at, now: delivery.fallback(link, at))
+    monkeypatch.setattr(
+        delivery, "path_after_relay", lambda link, at, now: delivery.fallback_path(link, at)
+    )
     peer.answered = now.t
     assert beat(agents, counter=8) == {"epoch": 3, "orders": []}
     assert (relayed, mailed) == ([RELAY, RELAY], [8])
@@ -453,7 +455,7 @@
     agents.store.contact = -1e9  # the store does not answer this node: it keeps leases alive
     assert beat(agents, counter=9) == {"epoch": 3, "orders": []}
     assert agents.hears() == {"n-1": (0.0, 1, 9)}
-    agents.contacts.by_machine["n-1"].kept_alive_at = NEVER
+    agents.contacts.by_machine["n-1"].locally_renewed_at = NEVER
     assert beat(agents, counter=8) == {"epoch": 3, "orders": []}
     assert agents.hears() == {} and not agents.carrier.waiting
     peers = agents.links.peers
@@ -469,7 +471,7 @@
     live = [{"piece": "j-000001/0", "try": 1, "status": "running"},
             {"piece": "j-000002/0", "try": 1, "status": "running"}]  # fmt: skip
     stops = [{"verb": "stop", "piece": "j-000001/0", "try": 1, "wind_down_s": 0.0}]
-    owner.cancellations.words["a"] = Word()
+    owner.cancellations.peers["a"] = PeerConfirmations()
     owner.work([cm.PeerWord("a", "x", {"j-000001": 90.0}, 99.0)])
     assert beat(agents, counter=9, pieces=live)["orders"] == stops
     assert beat(agents, counter=8, pieces=live)["orders"] == stops
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -14,8 +14,8 @@
 
 from coveflow import constants as c
 from coveflow import wire
+from coveflow.core.failure_detector import FailureDetector, NodeStatus
 from coveflow.core.model import Flavor, Report
-from coveflow.core.suspicion import Suspicion, Word
 from coveflow.daemon import commands as cm
 from coveflow.daemon import owner as o
 from coveflow.daemon import restore
@@ -354,10 +354,10 @@
     "word", [{"workers": -1}, {"store_s": math.nan}, {"heard": {"a": math.inf}}]
 )
 def test_a_word_out_of_range_is_not_believed(word):
-    suspicion = Suspicion("a", ["a", "b"], c.PING_S, 0.0)
-    suspicion.said("b", {"workers": 3}, 1.0)
-    suspicion.said("b", word, 2.0)
-    assert suspicion.subjects["b"].word == Word(workers=3)
+    suspicion = FailureDetector("a", ["a", "b"], c.PING_S, 0.0)
+    suspicion.record_status("b", {"workers": 3}, 1.0)
+    suspicion.record_status("b", word, 2.0)
+    assert suspicion.nodes["b"].status == NodeStatus(workers=3)
 
 
 HISTORY_ROW = [2, 5.0, 5.0, 1, [0.0, 0.0, 0.0, 0.0], [5.0, 5.0]]
@@ -432,7 +432,7 @@
         Flavor, "invalid_field", lambda self: "", test_a_bad_type_is_left_out_and_hides_no_other,
     ),
     "a word is taken as it comes": (
-        Word, "in_range", lambda self: True,
+        NodeStatus, "in_range", lambda self: True,
         lambda: test_a_word_out_of_range_is_not_believed({"workers": -1}),
     ),
     "answers of the store are read as they come": (
--- a/tests/test_hearing.py
+++ b/tests/test_hearing.py
@@ -155,9 +155,9 @@
     assert leader.heard(1, 2, EPOCH)[0][1]  # told
     for counter in (3, 4):
         assert miss(leader, counter)[0][1]  # one answer may be lost
-        assert not m.answer_receipt.deaf and m.placements
+        assert not m.answer_receipt.not_receiving and m.placements
     miss(leader, 5)
-    assert m.answer_receipt.deaf
+    assert m.answer_receipt.not_receiving
     # The absence in a report later than the answer that told of it: it never began.
     job = leader.book.jobs["j-000001"]
     assert not m.placements and not job.placed and job.last_attempt_number == 1
@@ -172,7 +172,9 @@
     for counter in range(4, 30):
         miss(leader, counter, [pulling], gap_s=REPORT_S)
     m = leader.book.machines["n-1"]
-    assert not m.answer_receipt.deaf and not m.answer_receipt.missed and m.placements
+    assert (
+        not m.answer_receipt.not_receiving and not m.answer_receipt.missed_answers and m.placements
+    )
 
 
 def test_a_session_that_ends_though_its_reports_were_answered_shows_a_deaf_machine():
@@ -183,7 +185,7 @@
     m = leader.book.machines["n-1"]
     leader.now += 1.0
     leader.heard(2, 5, EPOCH)
-    assert m.answer_receipt.deaf and not m.placements
+    assert m.answer_receipt.not_receiving and not m.placements
 
 
 @pytest.mark.parametrize("gap_s", [REPORT_S, 6.0])
@@ -194,12 +196,12 @@
     for counter in range(2, 5):
         miss(leader, counter)
     m = leader.book.machines["n-1"]
-    assert m.answer_receipt.doubtful and not m.answer_receipt.deaf
+    assert m.answer_receipt.excluded_from_work and not m.answer_receipt.not_receiving
     for p in list(m.placements.values()):
         leader.book.end(p, False, "never started")  # it was stopped before it began
     for counter in range(5, 12):
         miss(leader, counter, gap_s=gap_s)
-    assert not m.answer_receipt.doubtful
+    assert not m.answer_receipt.excluded_from_work
 
 
 def test_a_machine_whose_session_ended_gets_one_task_until_an_order_shows():
@@ -208,14 +210,14 @@
     leader.now += 2 * LEASE_S
     leader.heard(2, 3, EPOCH)
     m = leader.book.machines["n-1"]
-    assert not m.answer_receipt.deaf and m.answer_receipt.trust == 1
+    assert not m.answer_receipt.not_receiving and m.answer_receipt.task_limit == 1
     for counter in range(4, 9, 2):
         on = leader.give()
         m.placements[on.job, on.task, on.number].tenure = 2
         assert leader.heard(2, counter, EPOCH)[0][1]
         leader.now += 1.0
         leader.heard(2, counter + 1, EPOCH, [on])
-    assert m.answer_receipt.trust == 0
+    assert m.answer_receipt.task_limit == 0
 
 
 def test_a_machine_with_nothing_to_do_is_trusted_again_once_its_session_outlives_a_lease():
@@ -225,7 +227,7 @@
     leader.now += 2 * LEASE_S
     leader.heard(2, 3, EPOCH)
     m, rose_at, counter = leader.book.machines["n-1"], leader.now, 3
-    while m.answer_receipt.trust:
+    while m.answer_receipt.task_limit:
         leader.now += REPORT_S
         counter += 1
         leader.heard(2, counter, EPOCH)
@@ -240,14 +242,14 @@
     leader.heard(1, 3, EPOCH)  # held back on the way
     leader.heard(1, 4, EPOCH)
     leader.heard(2, 5, EPOCH)
-    assert not leader.book.machines["n-1"].answer_receipt.deaf
+    assert not leader.book.machines["n-1"].answer_receipt.not_receiving
 
 
 def test_a_machine_that_no_node_reaches_goes_from_one_to_the_next_and_is_known():
     leader = Leader()
     for counter in range(2, 6):
         miss(leader, counter, asked=False)
-    assert leader.book.machines["n-1"].answer_receipt.deaf
+    assert leader.book.machines["n-1"].answer_receipt.not_receiving
 
 
 def test_a_deaf_machine_heals_in_steps_or_goes_back():
@@ -256,14 +258,14 @@
     for counter in range(2, 6):
         miss(leader, counter)
     m = leader.book.machines["n-1"]
-    assert m.answer_receipt.deaf
+    assert m.answer_receipt.not_receiving
     for counter in range(6, 6 + c.DEAF_QUICK):
         miss(leader, counter, gap_s=REPORT_S)
-    assert not m.answer_receipt.deaf and m.answer_receipt.trust == 1
+    assert not m.answer_receipt.not_receiving and m.answer_receipt.task_limit == 1
     on = leader.give()
     assert leader.heard(1, 20, EPOCH)[0][1]
     miss(leader, 21, [on], gap_s=REPORT_S)
-    assert m.answer_receipt.trust == c.DEAF_GROWTH
+    assert m.answer_receipt.task_limit == c.DEAF_GROWTH
 
     leader = Leader()
     returned, counter = [], 2
--- a/tests/test_limits_meetings.py
+++ b/tests/test_limits_meetings.py
@@ -180,7 +180,10 @@
             j.spec.team == team and j.pending and j.cancelled is None for j in book.jobs.values()
         )
         heard = [m for m in book.machines.values() if book.heard_lately(m, now)]
-        room = any(m.cpus >= 1.0 and not (m.returning or m.answer_receipt.doubtful) for m in heard)
+        room = any(
+            m.cpus >= 1.0 and not (m.returning or m.answer_receipt.excluded_from_work)
+            for m in heard
+        )
         return waits and room and book.usage().get(team, (0.0, 0.0))[0] <= LIMIT - 1.0
 
     def play(self, how: str, for_s: float, cancel_s: float, change: str = "end") -> float:
@@ -648,7 +651,12 @@
         rooms = dict.fromkeys(SIDES, 0)
         for m in book.machines.values():
             usable = book.heard_lately(m, now) and not (m.returning or m.draining or m.suspect)
-            if usable and not m.answer_receipt.doubtful and m.allows(spec) and m.fits(spec):
+            if (
+                usable
+                and not m.answer_receipt.excluded_from_work
+                and m.allows(spec)
+                and m.fits(spec)
+            ):
                 rooms[m.zone] += int((m.cpus + 1e-6) // spec.cpus)
         if spec.one_zone:
             return any(n >= need for z, n in rooms.items() if not used or set(used) == {z})
@@ -941,7 +949,7 @@
 
 
 def test_what_grows_with_jobs_that_are_over_is_noticed(monkeypatch):
-    monkeypatch.setattr(Cancellations, "_forget", lambda self, now: None)
+    monkeypatch.setattr(Cancellations, "_expire", lambda self, now: None)
     with flood(monkeypatch) as scene:
         assert any("cancellations.known" in path for path in scene.grown())
 
@@ -951,8 +959,8 @@
 
 def planted_deaf_are_silent(self, m, now, many_deaf) -> bool:
     """As it was: a new leader had to see a session rise, or two answers without effect."""
-    comes = now - m.answer_receipt.came < self.book.patience
-    return comes and (m.id in many_deaf or m.answer_receipt.trust > 0)
+    comes = now - m.answer_receipt.reported_at < self.book.patience
+    return comes and (m.id in many_deaf or m.answer_receipt.task_limit > 0)
 
 
 def deaf_zone() -> Case:
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -6,7 +6,7 @@
 
 from coveflow import constants as c
 from coveflow import wire
-from coveflow.core.cancellations import Cancellations, Word
+from coveflow.core.cancellations import Cancellations, PeerConfirmations
 from coveflow.core.model import Spec
 from coveflow.daemon import commands as cm
 from coveflow.daemon.inbox import Inbox
@@ -241,11 +241,11 @@
 
 def planted_trust_in_whoever_answers(monkeypatch) -> None:
     def told(self, name, process, jobs, sent, now):
-        word = self.words[name]
+        word = self.peers[name]
         word.process, word.whole, word.at = process, True, max(word.at, sent)
         return []
 
-    monkeypatch.setattr(Cancellations, "peer_told", told)
+    monkeypatch.setattr(Cancellations, "record_peer_list", told)
 
 
 PLANTED = [
@@ -389,7 +389,7 @@
     failed = []
     honest = leader.commits._conflict
     leader.commits._conflict = lambda txn, keys: (failed.append(keys), honest(txn, keys))
-    leader.cancellations.words["b"] = Word()
+    leader.cancellations.peers["b"] = PeerConfirmations()
     world.deaf["a"] = world.now + 3.0  # its watch is late, and it can write
     world.cancel(name)
     leader.work([cm.PeerWord("b", "x", {name: world.now}, world.now)])
--- a/tests/test_nights.py
+++ b/tests/test_nights.py
@@ -3,7 +3,7 @@
 import pytest
 
 from coveflow.core import redirects
-from coveflow.core.hearing import Hearing
+from coveflow.core.answer_receipt import AnswerReceipt
 from coveflow.daemon.direct import Direct
 from coveflow.daemon.keeper import Keeper
 from coveflow.daemon.user_jobs import UserJobs
@@ -49,7 +49,7 @@
     deaf = Trouble(0.0, "deaf", ("one",), 90.0)
     with_it = night(deaf, run_s=20.0)
     assert with_it.deaf == 1 and not with_it.returned
-    monkeypatch.setattr(Hearing, "reported", lambda *_: False)
+    monkeypatch.setattr(AnswerReceipt, "record_report", lambda *_: False)
     assert night(deaf, run_s=20.0).lost > with_it.lost
 
 
@@ -59,7 +59,7 @@
     sever = Trouble(0.0, "sever", ("leader",), 24.0)
     told = night(sever, run_s=3.0)
     assert (told.broken, told.lost, told.returned) == ("", 0, 0)
-    monkeypatch.setattr(redirects, "untried_mate", lambda machine, contact, mates, now: "")
+    monkeypatch.setattr(redirects, "untried_zone_node", lambda machine, contact, mates, now: "")
     # Machines that are asked directly do not go back meanwhile; what they end is told later still.
     assert night(sever, run_s=3.0).whole_s > told.whole_s + 5.0
     monkeypatch.setattr(Direct, "tick", lambda self, now: None)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""Too many submissions on whole nodes: who is accepted, who waits, and that all of it ends."""
+"""Submission floods on complete nodes: fairness between teams, and that all jobs finish."""
 
 import itertools
 
@@ -14,7 +14,7 @@
 
 
 def flood(world) -> None:
-    """A guest team sends them while the other team's one a second goes on."""
+    """Submit the flood of a guest team while the other team keeps submitting one job a second."""
     names = list(ZONES)
     for i in range(FLOOD):
         name = f"j-9{i:06d}"
@@ -24,7 +24,7 @@
 
 
 def waits(world) -> list[float]:
-    """s that the other team's submissions took from the flood's begin until it is written."""
+    """s that the other team's submissions take, from the start of the flood on."""
     return [world.answers[f"j-{i:06d}"][1] for i in range(int(FAULT_S) - 2, 28)]
 
 
@@ -33,7 +33,7 @@
     return sum(status in (200, 201) for status in found)
 
 
-def test_a_team_that_floods_all_nodes_waits_for_itself(play):
+def test_a_team_that_floods_all_nodes_delays_only_itself(play):
     world, lines = play(run_s=3.0)
     flood(world)
     world.run(FAULT_S + 20.0)
@@ -45,21 +45,21 @@
     assert lost(world) == 0 and not [row for row in lines.rows if row[1] == "command failed"]
 
 
-def test_a_queue_by_arrival_alone_is_noticed(play, monkeypatch):
-    """One bound for all: whoever comes next is refused, whichever team."""
+def test_a_fifo_queue_is_detected(play, monkeypatch):
+    """Planted fault: one limit for all teams, so any team's next submission is refused."""
     monkeypatch.setattr(admission, "admits", lambda waiting, of, teams, bound: waiting < bound)
-    monkeypatch.setattr(admission.Queue, "of", lambda self, team: 0)
-    honest = UserJobs.accept
-    alike = ("", "")
-    monkeypatch.setattr(UserJobs, "accept", lambda *args: honest(*args[:3], alike))
+    monkeypatch.setattr(admission.FairQueue, "waiting_of", lambda self, team: 0)
+    original = UserJobs.accept
+    same_flow = ("", "")
+    monkeypatch.setattr(UserJobs, "accept", lambda *args: original(*args[:3], same_flow))
     world, _ = play(run_s=3.0)
     flood(world)
     world.run(FAULT_S + 20.0)
     assert max(waits(world)) > 1.0
 
 
-def test_ends_are_told_in_time_and_the_lead_moves_while_submissions_flood(play):
-    """Admission must not starve completion, nor hold up a take-over."""
+def test_task_ends_and_takeover_are_timely_during_a_flood(play):
+    """Admission must neither starve the processing of task ends nor delay a leader takeover."""
     world, _ = play(run_s=3.0)
     flood(world)
     world.at(FAULT_S + 2.0, lambda: world.crash(world.leader(), 0.3))
--- a/tests/test_shedding.py
+++ b/tests/test_shedding.py
@@ -9,7 +9,7 @@
 
 from coveflow import constants as c
 from coveflow.core import overload
-from coveflow.core.suspicion import Slow
+from coveflow.core.failure_detector import SlowLeaderHandover
 from coveflow.daemon.node import Node
 from coveflow.lab import site as sites
 from coveflow.lab.virtual import World
@@ -88,7 +88,7 @@
     monkeypatch.setattr(Node, "_time_computing", lambda node: None)
     for name, seconds in compute_s.items():
         for _ in range(c.COMPUTE_TRIES):
-            world.node(name).compute_pace.tried(seconds)
+            world.node(name).compute_pace.add_sample(seconds)
     leader = world.node(world.leader())
     for step in range(100):
         at = world.now + 1.0 + 0.1 * step
@@ -129,27 +129,29 @@
     busy, now = overload.BusyShare(0.0), 0.0
     for elapsed, part in steps:
         now += elapsed
-        busy.worked(elapsed * part)
-        share = busy.look(now)
+        busy.add_busy_time(elapsed * part)
+        share = busy.update(now)
         assert -1e-9 <= share <= max(part for _, part in steps) + 1e-9
-    busy.worked(c.BUSY_FADE_S * 10.0)
-    assert math.isclose(busy.look(now + c.BUSY_FADE_S * 10.0), 1.0, abs_tol=0.01)
+    busy.add_busy_time(c.BUSY_FADE_S * 10.0)
+    assert math.isclose(busy.update(now + c.BUSY_FADE_S * 10.0), 1.0, abs_tol=0.01)
 
 
 def test_the_pace_of_computing_is_the_least_of_the_newest_tries():
-    pace = overload.ComputePace()
+    pace = overload.ComputeSpeed()
     for _ in range(c.COMPUTE_TRIES - 1):
-        pace.tried(0.5)
-    assert pace.least_s() == 0.0
-    pace.tried(0.2)
-    assert pace.least_s() == 0.2
+        pace.add_sample(0.5)
+    assert pace.best_s() == 0.0
+    pace.add_sample(0.2)
+    assert pace.best_s() == 0.2
     for _ in range(c.COMPUTE_TRIES):
-        pace.tried(0.4)
-    assert pace.least_s() == 0.4
+        pace.add_sample(0.4)
+    assert pace.best_s() == 0.4
 
 
 def test_a_late_leader_with_little_work_still_hands_over():
-    lateness = Slow()
-    handed = [at for at in range(100) if lateness.look(at * 0.1, 5.0, 0.01, False)]
+    lateness = SlowLeaderHandover()
+    handed = [at for at in range(100) if lateness.should_hand_over(at * 0.1, 5.0, 0.01, False)]
     assert len(handed) == 1
-    assert not any(Slow().look(at * 0.1, 5.0, 0.01, True) for at in range(100))
+    assert not any(
+        SlowLeaderHandover().should_hand_over(at * 0.1, 5.0, 0.01, True) for at in range(100)
+    )
