--- a/coveflow/state/store.py
+++ b/coveflow/state/store.py
@@ -16,7 +16,7 @@
 from coveflow.state.hedged import HedgedCommit
 from coveflow.state.transactions import AppliedCheck, Conflict, LeaseExpired, Outcome, Transaction
 
-__all__ = ["Conflict", "LeaseExpired", "Store", "RevisionCompacted"]
+__all__ = ["Conflict", "LeaseExpired", "RevisionCompacted", "Store"]
 
 
 T = TypeVar("T")
--- a/tests/test_quick_restarts.py
+++ b/tests/test_quick_restarts.py
@@ -91,11 +91,11 @@
     assert lines.count("handing over") == 1 and world.leader() not in ("", bad)
     assert gap(world, FAULT_S, FAULT_S + 11.0) <= 2.5
     others = [world.node(name).peers.suspicion for name in ZONES if name != bad]
-    assert all("ends" in suspicion.doubts(bad) for suspicion in others)
+    assert all("ends" in suspicion.suspicions(bad) for suspicion in others)
     finish(world)
     assert lost(world) == 0 and no_failed_commands(lines)
     world.run(world.now + 30.0)  # the suspicion expires
-    assert not any(suspicion.doubts(bad) for suspicion in others)
+    assert not any(suspicion.suspicions(bad) for suspicion in others)
 
 
 def test_the_only_reachable_node_leads_however_often_it_restarts(play):
