--- a/coveflow/daemon/comparisons.py
+++ b/coveflow/daemon/comparisons.py
@@ -1,4 +1,7 @@
-"""What this node knows of jobs, compared with the store; requests share the transactions."""
+"""Validation of locally known job states against the store, batched across requests.
+
+A transaction with guards and no writes confirms that the revisions known here are current.
+"""
 
 from __future__ import annotations
 
@@ -15,9 +18,9 @@
 
 
 class Comparison(msgspec.Struct, frozen=True):
-    """The store's word on what this node knew of a job when it asked."""
+    """Whether the store confirmed what this node knew of a job, and what that was."""
 
-    same: bool
+    unchanged: bool
     known: Accepted | None
 
 
@@ -25,22 +28,22 @@
 
 
 class Comparisons:
-    """Transactions that only compare, for the requests of the same moment.
+    """Batches concurrent requests into guard-only transactions.
 
-    One or two reads each let a flood of polls for unknown jobs use up the requests that submissions
-    and the watch need.
+    With one or two reads per request, a flood of polls for unknown jobs would use up the request
+    budget that submissions and the watch need.
     """
 
     def __init__(self, store: Store, inbox: Inbox, txn_ops: int) -> None:
         self.store, self.inbox = store, inbox
-        self.most_guards = 2 * txn_ops  # half of the conditions that are allowed
-        self.waiting: Waiting = {}  # by job: for the next transaction
+        self.max_guards = 2 * txn_ops  # half of the guards that a transaction may have
+        self.waiting: Waiting = {}  # by job, for the next transaction
         self.runner: asyncio.Task[None] | None = None
 
     async def compare(self, job: str) -> Comparison:
-        """Whether the store, asked from now on, knows the job just as this node does.
+        """Whether the store's state of the job, read after this call, equals this node's.
 
-        Raises Unavailable where the store does not answer, or too many requests wait.
+        Raises Unavailable if the store does not answer or too many requests wait.
         """
         future = self.waiting.get(job)
         if future is None:
@@ -55,25 +58,25 @@
         while self.waiting:
             batch, known, guards = self._next_batch()
             try:
-                changed = await self._changed(guards, set(batch))
+                changed = await self._changed_jobs(guards, set(batch))
             except Exception as error:
                 failure = error if isinstance(error, Unavailable) else Unavailable(str(error))
-                _fail(batch, failure)
+                _fail_batch(batch, failure)
                 continue
             for job, future in batch.items():
                 if changed and job not in changed:
-                    self._again(job, future)
+                    self._requeue(job, future)
                 elif not future.done():
                     future.set_result(Comparison(not changed, known[job]))
             await asyncio.sleep(self.store.pace_s(c.POLL_PACE_S, c.POLL_PART))
 
     def _next_batch(self) -> tuple[Waiting, dict[str, Accepted | None], dict[str, int]]:
-        """Requests for one transaction, what is known of their jobs, and the guards of that."""
+        """Requests for one transaction, the known states of their jobs, and the matching guards."""
         guards: dict[str, int] = {}
         batch: Waiting = {}
         known: dict[str, Accepted | None] = {}
         for job, future in self.waiting.items():
-            if len(guards) + 2 > self.most_guards and batch:
+            if len(guards) + 2 > self.max_guards and batch:
                 break
             entry = self.inbox.accepted.get(job)
             if entry is not None:
@@ -85,31 +88,31 @@
             del self.waiting[job]
         return batch, known, guards
 
-    async def _changed(self, guards: dict[str, int], jobs: set[str]) -> set[str]:
-        """The jobs of which the store knows something else; it need not name every one."""
+    async def _changed_jobs(self, guards: dict[str, int], jobs: set[str]) -> set[str]:
+        """Jobs whose stored state differs from the known one; possibly not all of them."""
         try:
             await self.store.commit(guards, {})
         except Conflict as conflict:
-            # One that names no key says of none that it is as known here.
+            # A conflict that names no key confirms none of the jobs.
             return {key.rsplit("/", 1)[1] for key in conflict.failed} or jobs
         return set()
 
-    def _again(self, job: str, future: asyncio.Future[Comparison]) -> None:
-        """Refused transactions need not name every key: the others are compared again."""
+    def _requeue(self, job: str, future: asyncio.Future[Comparison]) -> None:
+        """Compare the job again: a conflict need not name every key that differs."""
         other = self.waiting.setdefault(job, future)
         if other is not future:
-            _follow(other, future)
+            _copy_outcome(other, future)
 
 
-def _fail(batch: Waiting, failure: Exception) -> None:
+def _fail_batch(batch: Waiting, failure: Exception) -> None:
     for future in batch.values():
         if not future.done():
             future.set_exception(failure)
-            future.exception()  # its request may be gone; nobody else must hear of it
+            future.exception()  # marks it as retrieved: the request may have ended already
 
 
-def _follow(first: asyncio.Future[Comparison], second: asyncio.Future[Comparison]) -> None:
-    """The second ends as the first does."""
+def _copy_outcome(first: asyncio.Future[Comparison], second: asyncio.Future[Comparison]) -> None:
+    """Copy the outcome of the first future to the second."""
 
     def copy(_: asyncio.Future[Comparison]) -> None:
         if second.done():
@@ -117,7 +120,9 @@
         error = first.exception()
         if error is not None:
             second.set_exception(error)
-            second.exception()  # its request may be gone; asyncio told of each such, 40 lines long
+            # Marks it as retrieved: the request may have ended already, and asyncio logs about 40
+            # lines for each exception that is never retrieved.
+            second.exception()
         else:
             second.set_result(first.result())
 
--- a/coveflow/daemon/mailbox.py
+++ b/coveflow/daemon/mailbox.py
@@ -1,7 +1,7 @@
-"""Reports by the store's mailbox: of nodes that reach the store but not the leader.
+"""Reports through a mailbox in the store, for nodes that reach the store but not the leader.
 
-Each node has one mail and the leader writes one reply to each, which hold what is newest. A mail
-carries reports that wait for an answer and names machines whose leases the node keeps alive.
+Each node has one mail key and the leader one reply key per node; both hold only the newest value. A
+mail contains reports that wait for an answer, and machines whose leases the node keeps alive.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from coveflow.core.contacts import Contacts
 from coveflow.core.model import Report
 from coveflow.daemon.commands import Vouched
-from coveflow.daemon.intake import Intake
 from coveflow.daemon.owner import Owner
+from coveflow.daemon.report_intake import ReportIntake
 from coveflow.daemon.unreadable import Unreadable
 from coveflow.logs import Log
 from coveflow.net.http import Unavailable
@@ -31,16 +31,16 @@
 
 
 class Mail(msgspec.Struct):
-    """A node's mail as the store keeps it."""
+    """A node's mail, as stored."""
 
     boot: str  # the process that wrote it
-    reports: dict[str, Any]  # rows of `wire.mail_report`, by machine; each is checked by itself
+    reports: dict[str, Any]  # rows of `wire.mail_report` by machine, validated one by one
     alive: list[str]  # machines whose leases the node keeps alive
-    number: int = 0  # counts the process's mails
+    number: int = 0  # sequence number within the process
 
 
 class Answer(msgspec.Struct, array_like=True):
-    """The leader's answer, good only for the very report that it names."""
+    """The leader's answer, valid only for the report with this session and counter."""
 
     tenure: int
     counter: int
@@ -48,13 +48,13 @@
 
 
 class Replies(msgspec.Struct):
-    """The leader's reply to a node's mail as the store keeps it."""
+    """The leader's reply to a node's mail, as stored."""
 
     boot: str  # the process whose mail it answers
     answers: dict[str, Answer]  # by machine
 
 
-class Posted(msgspec.Struct, eq=False):
+class PendingReport(msgspec.Struct, eq=False):
     """A report that waits for the leader's answer by mail."""
 
     report: Report
@@ -62,11 +62,11 @@
     size: int  # bytes of the row in a mail
     future: asyncio.Future[bytes]
     has_end: bool  # it reports the end of a task
-    written: bool = False  # a mail carries it, or none can
+    written: bool = False  # it is in a mail, or too large for any
 
 
 class Mailbox:
-    """A node's side: writes the mails, and gives the answers in the replies to those who wait."""
+    """The follower's side: writes mails, and passes answers from replies to waiting reports."""
 
     def __init__(
         self,
@@ -77,37 +77,39 @@
         unreadable: Unreadable,
         clock: Callable[[], float],
     ) -> None:
-        """`boot` names this process; `contacts` knows the machines that are kept alive here."""
+        """`boot` identifies this process; `contacts` holds the machines that it keeps alive."""
         self.key = MAIL + settings.name
         value_bytes = settings.params.state.value_kb * 1024
-        self.room = int(value_bytes * c.MAIL_PART)  # bytes
-        self.largest = int(value_bytes * c.MAIL_ALONE_PART)  # bytes of a report alone in a mail
+        self.max_bytes = int(value_bytes * c.MAIL_PART)  # bytes
+        self.max_report_bytes = int(
+            value_bytes * c.MAIL_ALONE_PART
+        )  # a larger report fits in no mail
         self.store, self.boot, self.clock = store, boot, clock
         self.contacts, self.unreadable = contacts, unreadable
-        self.posted: dict[str, Posted] = {}
-        self.writing: asyncio.Task[None] | None = None
+        self.pending: dict[str, PendingReport] = {}
+        self.writer: asyncio.Task[None] | None = None
         self.number = 0
-        self.rev: int | None = None  # of this node's mail in the store; None: not known
+        self.rev: int | None = None  # of this node's mail in the store; None: unknown
         self.vouched_at = -1e9  # when a mail last named machines that are kept alive
 
     async def ask(self, report: Report, has_end: bool) -> bytes | None:
-        """Pass the report to the leader; its answer to this very report, or None in that time."""
+        """Pass the report to the leader; returns its answer to this report, or None on timeout."""
         machine, row = report.machine, wire.mail_report(report)
         size = records.encoded_size(machine, row)
         future: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
-        post = self.posted[machine] = Posted(report, row, size, future, has_end)
-        if self.writing is None or self.writing.done():
-            self.writing = asyncio.create_task(self._write_all())
+        entry = self.pending[machine] = PendingReport(report, row, size, future, has_end)
+        if self.writer is None or self.writer.done():
+            self.writer = asyncio.create_task(self._write_all())
         try:
             return await asyncio.wait_for(future, c.MAIL_WAIT_S)
         except TimeoutError:
             return None
         finally:
-            if self.posted.get(machine) is post:
-                del self.posted[machine]
+            if self.pending.get(machine) is entry:
+                del self.pending[machine]
 
     def deliver(self, value: Any) -> None:
-        """Give the leader's answers to the reports that wait; `value` is the store's record."""
+        """Pass the leader's answers to the waiting reports; `value` is the stored reply."""
         try:
             replies = msgspec.convert(value, Replies)
         except msgspec.ValidationError as error:
@@ -116,106 +118,109 @@
         if replies.boot != self.boot:
             return
         for machine, answer in replies.answers.items():
-            post = self.posted.get(machine)
-            if post is None or post.future.done():
+            entry = self.pending.get(machine)
+            if entry is None or entry.future.done():
                 continue
-            if (post.report.tenure, post.report.counter) == (answer.tenure, answer.counter):
-                post.future.set_result(wire.pack(answer.orders))
+            if (entry.report.tenure, entry.report.counter) == (answer.tenure, answer.counter):
+                entry.future.set_result(wire.pack(answer.orders))
 
     async def _write_all(self) -> None:
-        """Write mails until each waiting report was in one."""
-        while any(not post.written for post in self.posted.values()):
+        """Write mails until each pending report has been in one."""
+        while any(not entry.written for entry in self.pending.values()):
             try:
-                await self._write(self._next())
+                await self._write(self._next_mail())
             except (Unavailable, Conflict) as error:
-                log.debug("mail failed", why=error)
+                log.debug("writing mail failed", why=error)
                 self.rev = None
             await asyncio.sleep(c.MAIL_PACE_S)
 
-    def _next(self) -> Mail:
-        """The next mail: as many waiting reports as it has room for, those with ends first.
+    def _next_mail(self) -> Mail:
+        """Build the next mail: as many pending reports as fit, those with task ends first.
 
-        One that no mail can carry is left out. The store refused such a mail, and what else was in
-        it or waited was lost.
+        A report too large for any mail is left out, as the store would reject the whole mail and
+        the other reports in it, and those still pending, would be lost.
         """
         self.number += 1
-        mail = Mail(self.boot, {}, self._alive(), self.number)
+        mail = Mail(self.boot, {}, self._machines_to_vouch_for(), self.number)
         size = len(mail.alive) * c.NAME_BYTES
-        waiting = [entry for entry in self.posted.items() if not entry[1].written]
-        for machine, post in sorted(waiting, key=lambda entry: not entry[1].has_end):
-            if post.size <= self.largest:
-                size += post.size
-                if size > self.room and (mail.reports or mail.alive):
+        waiting = [item for item in self.pending.items() if not item[1].written]
+        for machine, entry in sorted(waiting, key=lambda item: not item[1].has_end):
+            if entry.size <= self.max_report_bytes:
+                size += entry.size
+                if size > self.max_bytes and (mail.reports or mail.alive):
                     break
-                mail.reports[machine] = post.row
-            post.written = True
+                mail.reports[machine] = entry.row
+            entry.written = True
         return mail
 
-    def _alive(self) -> list[str]:
-        """Machines to vouch for with the next mail; none if that was done just now.
+    def _machines_to_vouch_for(self) -> list[str]:
+        """Machines to vouch for in the next mail; none if the last such list is recent.
 
-        Machines whose turn in the mail did not come for long were returned as silent.
+        Without this list, machines whose reports waited long for a place in a mail were returned
+        as silent.
         """
         now = self.clock()
         if now - self.vouched_at < c.MAIL_ALIVE_S:
             return []
         self.vouched_at = now
-        most = self.room // (2 * c.NAME_BYTES)
+        most = self.max_bytes // (2 * c.NAME_BYTES)
         return list(self.contacts.locally_renewed(now, c.MAIL_ALIVE_S))[:most]
 
     async def _write(self, mail: Mail) -> None:
-        """Guarded by the last mail's revision: one that the store carries out late, after newer
-        ones or an earlier process's, would tell the leader again that old reports' machines live.
+        """Write the mail, guarded by the revision of the last one.
+
+        Without the guard, a write applied late, after newer mails or by an earlier process, would
+        tell the leader again that the machines of old reports are alive.
         """
         if self.rev is None:
             _, self.rev = await self.store.get(self.key)
         value = msgspec.structs.asdict(mail)
-        give_up = self.clock() + c.MAIL_WAIT_S
+        deadline = self.clock() + c.MAIL_WAIT_S
         self.rev = await self.store.commit_with_retry(
-            {self.key: self.rev}, {self.key: value}, give_up, proof=self.key
+            {self.key: self.rev}, {self.key: value}, deadline, proof=self.key
         )
 
 
 class MailReader:
-    """The leader's side: takes in other nodes' mails and replies to them."""
+    """The leader's side: processes other nodes' mails and replies to them."""
 
     def __init__(
         self,
         settings: Settings,
         owner: Owner,
         store: Store,
-        intake: Intake,
+        intake: ReportIntake,
         unreadable: Unreadable,
     ) -> None:
-        self.room = int(settings.params.state.value_kb * 1024 * c.REPLY_PART)  # bytes
+        self.max_bytes = int(settings.params.state.value_kb * 1024 * c.REPLY_PART)  # bytes
         self.owner, self.store = owner, store
         self.intake, self.unreadable = intake, unreadable
 
     async def answer(self, member: str, value: Any) -> None:
-        """Take in a member's mail, the store's record of it, and write the reply."""
+        """Process a member's mail (`value`, as stored) and write the reply."""
         try:
             mail = msgspec.convert(value, Mail)
         except msgspec.ValidationError as error:
             self.unreadable.tell(error)
             return
         self.owner.put(Vouched(mail.alive))
-        reports = self._reports(mail)
+        reports = self._readable_reports(mail)
         tasks = [
             asyncio.create_task(self.intake.answer(report, patient=False)) for report in reports
         ]
         if not tasks:
             return
         await asyncio.wait(tasks, timeout=c.MAIL_REPLY_S)
-        replies = Replies(mail.boot, self._ready(reports, tasks))
+        replies = Replies(mail.boot, self._ready_answers(reports, tasks))
         try:
             await self.store.commit(
                 {VIEW: self.owner.book.rev}, {REPLY + member: msgspec.to_builtins(replies)}
             )
         except (Unavailable, Conflict) as error:
-            log.debug("reply failed", member=member, why=error)
+            log.debug("writing mail reply failed", member=member, why=error)
 
-    def _reports(self, mail: Mail) -> list[Report]:
-        """The mail's reports, without those that can't be read."""
+    def _readable_reports(self, mail: Mail) -> list[Report]:
+        """The mail's reports without those that can't be decoded."""
         reports = []
         for machine, row in mail.reports.items():
             try:
@@ -224,18 +229,18 @@
                 self.unreadable.tell(error)
         return reports
 
-    def _ready(
+    def _ready_answers(
         self, reports: list[Report], tasks: list[asyncio.Task[bytes | None]]
     ) -> dict[str, Answer]:
-        """The answers that are there and have room; other workers' next reports ask again."""
+        """Answers that are ready and fit in the reply; other workers report again."""
         answers: dict[str, Answer] = {}
         size = 0
         for report, task in zip(reports, tasks, strict=True):
             if not task.done() or task.result() is None or not self.intake.may_renew():
                 continue
             answer = Answer(report.tenure, report.counter, wire.unpack(task.result()))
-            more = records.encoded_size(report.machine, answer)
-            if size + more <= self.room:
-                size += more
+            answer_bytes = records.encoded_size(report.machine, answer)
+            if size + answer_bytes <= self.max_bytes:
+                size += answer_bytes
                 answers[report.machine] = answer
         return answers
--- a/coveflow/daemon/node.py
+++ b/coveflow/daemon/node.py
@@ -1,4 +1,8 @@
-"""One controller: the owner, its clients, its servers, and the tasks that carry out effects."""
+"""One controller process: wires the owner to its clients, servers, background loops and effects.
+
+The owner decides and emits effects; the node carries them out as tasks and puts their results back
+on the owner's queue as commands.
+"""
 
 from __future__ import annotations
 
@@ -17,10 +21,10 @@
 from coveflow.core.failure_detector import NodeStatus, SlowLeaderHandover, leadership_order
 from coveflow.daemon import commands as cm
 from coveflow.daemon import owner as o
-from coveflow.daemon.agents import Agents
-from coveflow.daemon.front import Front
-from coveflow.daemon.operators import PATHS, Operators
+from coveflow.daemon.operators import OPERATOR_PATHS, OperatorApi
+from coveflow.daemon.report_handler import ReportHandler
 from coveflow.daemon.tracing import Tracer
+from coveflow.daemon.user_api import UserApi
 from coveflow.logs import Log
 from coveflow.membership.leadership import Membership
 from coveflow.membership.peers import BATCH_PATH, Peers
@@ -33,15 +37,15 @@
 
 log = Log("coveflow.node")
 
-TIMER_S = 0.05  # s between looks at what is due; well below every planning interval
+TIMER_S = 0.05  # s between timer runs on the leader; well below every planning interval
 TICK_S = 0.5  # s between checks of silence, cancellations and late machines
-LOOK_S = 0.1  # s between looks at who is in doubt
-QUIET_S = 0.25  # s between both on a node with no job and no machine: nothing is due by time alone
-PACE_KEPT = 0.97  # part of its lateness a node still tells after one more timer: half in a second
-LIST_S = 4.0  # s between reads of the cloud's machine list
-PRICES_S = 45.0  # s between reads of the cloud's types, for spot prices
-METERS_S = 10.0  # s between two lines of what the budgets are spent on
-ISOLATED_S = 5.0  # s without any worker or peer that make a node hand over, where none was heard
+SUSPICION_CHECK_S = 0.1  # s between failure detector checks, and between a follower's timer runs
+IDLE_TIMER_S = 0.25  # s between timer runs on a node with no jobs and machines: no deadline is due
+LATENESS_DECAY = 0.97  # factor per TIMER_S on the reported timer lateness: about half in a second
+MACHINE_LIST_S = 4.0  # s between reads of the cloud's machine list
+PRICE_REFRESH_S = 45.0  # s between reads of the cloud's machine types, for spot prices
+METERS_LOG_S = 10.0  # s between log lines of what the request budgets are spent on
+ISOLATION_TIMEOUT_S = 5.0  # s without workers and peers before hand-over, if no peer was ever heard
 
 
 class Node:
@@ -53,7 +57,7 @@
         clock: Callable[[], float] = time.monotonic,
         wall: Callable[[], float] = time.time,
     ) -> None:
-        """`session` and the clocks (s) are the lab's where it plays nodes in virtual time."""
+        """The lab passes its own `session` and clocks (s) to run nodes in virtual time."""
         self.settings = settings
         self.clock, self.wall = clock, wall
         params = settings.params
@@ -83,10 +87,10 @@
             self.session,
             self.clock,
             self.info,
-            self.relayed,
-            self.viewed,
+            self.on_relayed_report,
+            self.on_peer_view,
             lambda: self.owner.inbox.view.leader,
-            lambda *word: self.owner.put(cm.PeerWord(*word)),
+            lambda *report: self.owner.put(cm.PeerWord(*report)),
             self.owner.hear_counts,
         )
         self.membership = Membership(
@@ -95,33 +99,33 @@
             self.owner,
             self.clock,
             self.isolated,
-            self.order,
+            self.succession_order,
             self.slow,
             self.peers.suspicion.reachable,
             self.wall,
             self.peers.boot,
         )
-        self.agents = Agents(
+        self.report_handler = ReportHandler(
             settings,
             self.owner,
             self.peers,
             self.clock,
             self.store,
         )
-        self.front = Front(
+        self.user_api = UserApi(
             settings,
             self.owner,
             self.store,
             self.peers,
             self.clock,
             self.wall,
-            self.agents.handle,
+            self.report_handler.handle,
         )
-        self.peers.handlers = dict.fromkeys(PATHS, Operators(self.owner).handle)
-        self.peers.handlers[BATCH_PATH] = self.agents.intake.batch
-        self.began = self.clock()
+        self.peers.handlers = dict.fromkeys(OPERATOR_PATHS, OperatorApi(self.owner).handle)
+        self.peers.handlers[BATCH_PATH] = self.report_handler.intake.answer_batch
+        self.started_at = self.clock()
         self.lateness = SlowLeaderHandover()
-        self.pace_s = 0.0  # how late this node's timers fire, fading
+        self.timer_lateness_s = 0.0  # decaying maximum of timer lateness
         self.compute_pace = overload.ComputeSpeed()
         if tuning.trace:
             self.owner.around.trace = Tracer(tuning.trace, self.clock, self.wall, self.peers.boot)
@@ -131,11 +135,11 @@
         self.owner.around.peers_known = self.peers.all_fresh
         self.owner.around.peer_fresh = self.peers.fresh
         self.tasks: set[asyncio.Task[None]] = set()
-        self.lead_tasks: set[asyncio.Task[None]] = set()
-        # What another interface does for as long as the node runs.
+        self.leader_tasks: set[asyncio.Task[None]] = set()
+        # Loops of other interfaces that run for as long as the node does.
         self.loops: list[Callable[[], Coroutine[Any, Any, None]]] = []
 
-    # --- what peers are told -------------------------------------------------------------
+    # --- status reported to peers --------------------------------------------------------
 
     def info(self) -> dict[str, Any]:
         now = self.clock()
@@ -148,70 +152,78 @@
             "leading": bool(self.owner.leading),
             "store_age": now - self.store.contact_at,
             "cancelled": (cancelled := self.owner.cancellations.recently_confirmed(now)),
-            "cancels": list(cancelled),  # what builds before knew, and cannot do without
-            "hears": self.agents.hears(),
+            "cancels": list(cancelled),  # required by older builds
+            "hears": self.report_handler.heard_reports(),
             "counts": self.owner.counts if self.owner.leading else {},
-            "word": msgspec.to_builtins(self.word()),
+            "word": msgspec.to_builtins(self.own_health()),
         }
 
-    def word(self) -> NodeStatus:
-        """What this node says of itself."""
+    def own_health(self) -> NodeStatus:
+        """The health that this node reports about itself."""
         now = self.clock()
         return NodeStatus(
-            pace_s=round(self.pace_s, 3),
-            store_s=round(now - max(self.store.contact_at, self.began), 3),
-            workers=self.agents.workers(),
-            cut=self.agents.cut(),
+            pace_s=round(self.timer_lateness_s, 3),
+            store_s=round(now - max(self.store.contact_at, self.started_at), 3),
+            workers=self.report_handler.workers(),
+            cut=self.report_handler.cut_from_workers(),
             heard={
                 name: round(age, 3) for name, age in self.peers.suspicion.contact_ages(now).items()
             },
             compute_s=self.compute_pace.best_s(),
         )
 
-    def viewed(self, view: dict[str, Any], rev: int) -> None:
-        """A peer's view; a newer one counts as if the store had told it."""
+    def on_peer_view(self, view: dict[str, Any], rev: int) -> None:
+        """Adopt a peer's view if it is newer, as if it had been read from the store."""
         if rev > self.owner.inbox.view.rev:
             self.owner.put(cm.InboxRows([(sk.VIEW, view, rev)]))
 
-    async def relayed(self, body: bytes) -> bytes | None:
-        return await self.agents.intake.relayed(body)
+    async def on_relayed_report(self, body: bytes) -> bytes | None:
+        return await self.report_handler.intake.answer_relayed(body)
 
     def isolated(self) -> bool:
-        """It has the store but neither workers nor peers, while others could do better."""
+        """Whether this node hears neither workers nor peers, while other members exist."""
         now, suspicion = self.clock(), self.peers.suspicion
         others = any(name != self.settings.name for name in self.owner.inbox.members)
         if not others:
             return False
         if suspicion.isolated(now):
-            return self.agents.unheard()
-        # No peer was ever heard: this process began within the cut, or before the others.
-        quiet = now - max(self.agents.arrivals.last_report_at, self.peers.last_contact_at)
-        return quiet > ISOLATED_S and not any(map(suspicion.reachable, suspicion.nodes))
+            return self.report_handler.reports_stopped()
+        # No peer was ever heard: this process started during the partition, or before the others.
+        silent_s = now - max(
+            self.report_handler.arrivals.last_report_at, self.peers.last_contact_at
+        )
+        return silent_s > ISOLATION_TIMEOUT_S and not any(map(suspicion.reachable, suspicion.nodes))
 
-    def order(self) -> list[str]:
-        """Members in the order in which they should lead, as far as this node knows."""
+    def succession_order(self) -> list[str]:
+        """Members in the order in which they should become leader, as this node judges them."""
         now, me = self.clock(), self.settings.name
         members = self.owner.inbox.members
-        return leadership_order(me, self.word(), members, self.peers.suspicion, now)
+        return leadership_order(me, self.own_health(), members, self.peers.suspicion, now)
 
     def slow(self) -> bool:
-        """Whether this leader is late with everything, while another node is not."""
+        """Whether this leader's timers fire late while another reachable node's do not."""
         now, suspicion = self.clock(), self.peers.suspicion
-        words = [
+        peer_health = [
             suspicion.status_of(name, now)
             for name in self.owner.inbox.members
             if suspicion.reachable(name)
         ]
-        best = min((word.pace_s for word in words if word is not None), default=None)
-        return self.lateness.should_hand_over(now, self.pace_s, best, self._full_of_work(words))
+        best = min((health.pace_s for health in peer_health if health is not None), default=None)
+        return self.lateness.should_hand_over(
+            now, self.timer_lateness_s, best, self._overloaded_by_own_work(peer_health)
+        )
 
-    def _full_of_work(self, words: list[NodeStatus | None]) -> bool:
-        """Whether its own work makes this node late, rather than a slow processor."""
-        others = [word.compute_s for word in words if word is not None and word.compute_s > 0.0]
+    def _overloaded_by_own_work(self, peer_health: list[NodeStatus | None]) -> bool:
+        """Whether lateness comes from this node's own workload rather than a slow processor."""
+        others = [
+            health.compute_s
+            for health in peer_health
+            if health is not None and health.compute_s > 0.0
+        ]
         share = self.owner.busy.update(self.clock())
         return overload.overloaded(share, self.compute_pace.best_s(), min(others, default=0.0))
 
-    def _time_computing(self) -> None:
+    def _measure_compute_time(self) -> None:
         began = self.clock()
         overload.reference_computation()
         self.compute_pace.add_sample(self.clock() - began)
@@ -222,39 +234,39 @@
         if kind == "commit":
             self._spawn(self._commit(data), leading=True)
         elif kind == "rent":
-            self._spawn(self._rent(data), leading=True)
+            self._spawn(self._rent_machines(data), leading=True)
         elif kind == "return":
             for start in range(0, len(data), c.MAX_RETURN):
-                self._spawn(self._return(data[start : start + c.MAX_RETURN]), leading=True)
+                self._spawn(self._return_machines(data[start : start + c.MAX_RETURN]), leading=True)
         elif kind == "direct":
-            self._spawn(self._direct(data), leading=True)
+            self._spawn(self._send_direct_request(data), leading=True)
         elif kind == "reread":
-            self._spawn(self._reread(data), leading=True)
+            self._spawn(self._reread_keys(data), leading=True)
         elif kind == "mail":
-            self._spawn(self.agents.mail_reader.answer(*data), leading=True)
+            self._spawn(self.report_handler.mail_reader.answer(*data), leading=True)
         elif kind == "reply":
-            self.agents.mailbox.deliver(data)
+            self.report_handler.mailbox.deliver(data)
         elif kind == "leading":
-            self.agents.lead_begins()
+            self.report_handler.on_leadership_start()
         elif kind == "retake":
             self.membership.retake = True
         elif kind == "stepped_down":
             self.store.set_leading(False)
-            for task in self.lead_tasks:
+            for task in self.leader_tasks:
                 task.cancel()
 
     def _spawn(self, work: Coroutine[Any, Any, None], leading: bool = False) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
         if leading:
-            self.lead_tasks.add(task)
+            self.leader_tasks.add(task)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self.tasks.discard(task)
-        self.lead_tasks.discard(task)
+        self.leader_tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            log.error("task failed", exc_info=task.exception())
+            log.error("background task failed", exc_info=task.exception())
 
     async def _commit(self, txn: cm.Txn) -> None:
         try:
@@ -267,10 +279,10 @@
             self.owner.put(cm.Settled(txn, None, ["refused"]))
 
     async def _still_leading(self) -> bool:
-        """Whether the store still knows this node as leader, by its own word just now.
+        """Check with a guarded commit that this node still leads by the store's current view.
 
-        A leader that was cut off from the store, and deposed meanwhile, once gave the whole
-        fleet back because it heard no worker any more.
+        Without this check, a leader that was partitioned from the store and deposed meanwhile
+        returned the whole fleet to the cloud because it no longer heard any worker.
         """
         try:
             await self.store.commit({sk.VIEW: self.owner.book.rev}, {})
@@ -278,12 +290,12 @@
             return False
         return True
 
-    async def _rent(self, want: fleet.RentalRequest) -> None:
-        """Ask under one fresh name until it is answered; a name is never used twice."""
+    async def _rent_machines(self, want: fleet.RentalRequest) -> None:
+        """Request machines, retrying under one fresh rental name; a name is never reused."""
         name = f"{self.settings.name}-{uuid.uuid4().hex}"
-        log.info("asking for machines", what=want.label())
+        log.info("requesting machines from the cloud", what=want.label())
 
-        async def ask() -> cm.Rented | cm.Refused:
+        async def request() -> cm.Rented | cm.Refused:
             try:
                 return cm.Rented(
                     want,
@@ -292,35 +304,38 @@
             except NoCapacity:
                 return cm.Refused(want)
 
-        await self._of_the_cloud("rent", ask)
+        await self._retry_cloud_call("rent", request)
 
-    async def _return(self, machines: list[str]) -> None:
-        async def ask() -> cm.Returned:
+    async def _return_machines(self, machines: list[str]) -> None:
+        async def request() -> cm.Returned:
             names = self.owner.keeper.still_returned(machines)
             if names:
                 await self.cloud.return_machines(names)
             return cm.Returned(names)
 
-        async def overdue() -> None:
+        async def return_overdue() -> None:
             names = self.owner.keeper.overdue(machines)
-            # Where nobody has the store nobody can take the lead from this node. Machines that hang
-            # kept cancelled work past its user's limit, waiting for the end of an outage.
+            # While no node reaches the store, no other node can become leader. Waiting for the end
+            # of a store outage let hung machines keep cancelled work past the user's time limit.
             if names and self.peers.all_fresh() and not self.peers.peer_reaches_store():
                 await self.cloud.return_machines(names)
-                log.info("returned without the store's word", machines=names)
+                log.info(
+                    "returned machines without confirming leadership in the store", machines=names
+                )
                 self.owner.put(cm.Returned(names))
 
-        await self._of_the_cloud("return", ask, overdue)
+        await self._retry_cloud_call("return", request, return_overdue)
 
-    async def _of_the_cloud(
+    async def _retry_cloud_call(
         self,
         what: str,
-        ask: Callable[[], Awaitable[cm.Command]],
+        request: Callable[[], Awaitable[cm.Command]],
         unconfirmed: Callable[[], Awaitable[None]] | None = None,
     ) -> None:
-        """Ask until it is answered and tell the owner; not at all once another node leads.
+        """Retry a cloud request until it is answered, and pass the result to the owner.
 
-        `unconfirmed` does what cannot wait for the store to say who leads.
+        Stops once another node leads. `unconfirmed` runs when the store cannot confirm leadership,
+        for work that cannot wait for it.
         """
         pause = c.RETRY_S
         while True:
@@ -332,14 +347,14 @@
                     if unconfirmed is not None:
                         await unconfirmed()
                     raise
-                self.owner.put(await ask())
+                self.owner.put(await request())
                 return
             except Unavailable as error:
-                log.debug("not asked of the cloud yet", what=what, why=error)
+                log.debug("cloud request failed; retrying", what=what, why=error)
             await asyncio.sleep(pause)
             pause = min(pause * 2, c.RETRY_MAX_S)
 
-    async def _direct(self, request: cm.DirectRequest) -> None:
+    async def _send_direct_request(self, request: cm.DirectRequest) -> None:
         try:
             if request.stops:
                 report = await self.machines.stop(
@@ -348,17 +363,17 @@
             else:
                 report = await self.machines.inspect(request.address)
         except Unavailable as error:
-            log.debug("no answer to a direct request", machine=request.machine, why=error)
+            log.debug("direct request failed", machine=request.machine, why=error)
             self.owner.put(cm.DirectAnswer(request, None))
         else:
             self.owner.put(cm.DirectAnswer(request, report))
 
-    async def _reread(self, keys: list[str]) -> None:
+    async def _reread_keys(self, keys: list[str]) -> None:
         for key in keys:
             try:
                 value, rev = await self.store.get(key)
             except Unavailable:
-                continue  # the next conflict asks again
+                continue  # the next conflict triggers another read
             if value is None:
                 self.owner.put(cm.Settled(cm.Txn({}, {}), None))
                 self.membership.retake = True
@@ -367,76 +382,78 @@
 
     # --- loops -------------------------------------------------------------------------
 
-    def _pause(self) -> float:
-        """s until the next look: longer where time alone makes nothing due."""
+    def _timer_interval_s(self) -> float:
+        """Seconds until the next timer run; longer where no deadline can be due."""
         owner = self.owner
-        if not (owner.inbox.accepted or owner.book.machines or self.agents.workers()):
-            return QUIET_S
-        return TIMER_S if owner.leading else LOOK_S  # others have nothing due before
+        if not (owner.inbox.accepted or owner.book.machines or self.report_handler.workers()):
+            return IDLE_TIMER_S
+        return TIMER_S if owner.leading else SUSPICION_CHECK_S  # followers have no earlier deadline
 
-    async def _timer(self) -> None:
-        ticked, looked, told, computed = 0.0, 0.0, self.clock(), 0.0
+    async def _timer_loop(self) -> None:
+        ticked_at, checked_at, logged_at, computed_at = 0.0, 0.0, self.clock(), 0.0
         while True:
             began = self.clock()
-            pause = self._pause()
+            pause = self._timer_interval_s()
             await asyncio.sleep(pause)
             now = self.clock()
             late = now - began - pause
-            self.pace_s = max(late, self.pace_s * PACE_KEPT ** (pause / TIMER_S))
-            if now - looked >= LOOK_S:
-                looked = now
+            self.timer_lateness_s = max(
+                late, self.timer_lateness_s * LATENESS_DECAY ** (pause / TIMER_S)
+            )
+            if now - checked_at >= SUSPICION_CHECK_S:
+                checked_at = now
                 self.peers.update_suspicion()
-            if now - computed >= c.COMPUTE_EVERY_S:
-                computed = now
-                self._time_computing()
-            if now - told >= METERS_S:
+            if now - computed_at >= c.COMPUTE_EVERY_S:
+                computed_at = now
+                self._measure_compute_time()
+            if now - logged_at >= METERS_LOG_S:
                 log.info(
                     "meters",
                     leading=bool(self.owner.leading),
                     jobs=len(self.owner.inbox.accepted),
                     fleet=self.owner.book.gauge(),
-                    spent=self.owner.around.meters.summary(now - told),
+                    spent=self.owner.around.meters.summary(now - logged_at),
                 )
-                told = now
-            if now - ticked >= TICK_S:
-                ticked = now
+                logged_at = now
+            if now - ticked_at >= TICK_S:
+                ticked_at = now
                 self.owner.put(cm.Tick())
             elif self.owner.leading:
                 self.owner.work([])
 
-    async def _types(self) -> None:
-        """Learn the machine types, and keep them in the store for outages of the cloud."""
+    async def _machine_types_loop(self) -> None:
+        """Read the machine types, and keep them in the store for cloud outages."""
         while True:
             try:
                 if not self.owner.inbox.flavors:
                     await self._learn_types()
                 elif self.owner.leading:
                     self.owner.put(cm.Prices(await self.cloud.flavors()))
-                    await asyncio.sleep(PRICES_S)
+                    await asyncio.sleep(PRICE_REFRESH_S)
             except (Unavailable, Conflict) as error:
-                log.debug("types not read", why=error)
+                log.debug("machine types not read", why=error)
             await asyncio.sleep(0.3 if not self.owner.inbox.flavors else 1.0)
 
     async def _learn_types(self) -> None:
-        """Ask the cloud and write its types down, in place of a record that holds none."""
+        """Read the cloud's machine types and store them in place of a record that holds none."""
         flavors = await self.cloud.flavors()
         if not flavors:
-            # Once written, an empty list kept every node without types for good.
+            # A stored empty list would leave every node without machine types permanently.
             return
         value = {"types": [msgspec.to_builtins(f) for f in flavors]}
         guards = {sk.TYPES: self.owner.inbox.types_rev}
         try:
             rev = await self.store.commit_with_retry(guards, {sk.TYPES: value}, self.clock() + 3.0)
         except ValueError as error:
-            # More types than a value of the state service holds; they serve without the record.
-            log.error("types not kept", count=len(flavors), why=error)
+            # The list exceeds the state service's value size limit; use it without storing it.
+            log.error("machine types not stored", count=len(flavors), why=error)
             self.owner.put(cm.Prices(flavors))
         else:
             self.owner.put(cm.InboxRows([(sk.TYPES, value, rev)]))
 
-    async def _listing(self) -> None:
+    async def _machine_list_loop(self) -> None:
         while True:
-            await asyncio.sleep(LIST_S)
+            await asyncio.sleep(MACHINE_LIST_S)
             if not self.owner.leading:
                 continue
             try:
@@ -447,7 +464,7 @@
     async def run(self) -> None:
         servers = []
         for where, handler in (
-            (self.settings.front, self.front.handle),
+            (self.settings.front, self.user_api.handle),
             (self.settings.cluster_listen, self.peers.handle),
         ):
             runner = web.ServerRunner(web.Server(handler, access_log=None))
@@ -464,23 +481,23 @@
         await self.work()
 
     async def work(self) -> None:
-        """Everything a node does by itself, for as long as it runs."""
+        """Run the node's background loops until one of them fails."""
         loops = [
             self.owner.run(),
             self.membership.run_lease(),
             self.membership.run_inbox(),
-            self._timer(),
-            self._types(),
-            self._listing(),
-            self.agents.carrier.run(),
+            self._timer_loop(),
+            self._machine_types_loop(),
+            self._machine_list_loop(),
+            self.report_handler.carrier.run(),
             *(self.peers.run(peer) for peer in self.peers.peers.values()),
             *(loop() for loop in self.loops),
         ]
-        await asyncio.gather(*(self._forever(loop) for loop in loops))
+        await asyncio.gather(*(self._run_loop(loop) for loop in loops))
 
-    async def _forever(self, loop: Coroutine[Any, Any, None]) -> None:
+    async def _run_loop(self, loop: Coroutine[Any, Any, None]) -> None:
         try:
             await loop
         except Exception:
-            log.exception("a loop ended")
+            log.exception("background loop failed")
             raise
--- a/coveflow/daemon/operators.py
+++ b/coveflow/daemon/operators.py
@@ -1,4 +1,4 @@
-"""What operators and their tools ask on the cluster address: the trace, and held tasks."""
+"""Operators' API on the cluster address: reading the trace, held tasks and draining machines."""
 
 from __future__ import annotations
 
@@ -12,64 +12,68 @@
 from coveflow.daemon.owner import Owner
 
 TRACE, HELD, RELEASE, DRAIN = "/trace", "/held", "/release", "/drain"
-PATHS = frozenset({TRACE, HELD, RELEASE, DRAIN})
-RELEASE_S = 5.0  # s an operator's word waits for its commit before it is called unsure
-TRACE_MOST = 2_000  # events in one answer
+OPERATOR_PATHS = frozenset({TRACE, HELD, RELEASE, DRAIN})
+COMMIT_TIMEOUT_S = 5.0  # s an operator's command waits for its commit before it counts as unsure
+MAX_TRACE_EVENTS = 2_000  # events in one answer
 
 
-class _Ask(msgspec.Struct):
-    """What a recorder asks for; `epoch` None: the newest lead of this node."""
+class _TraceQuery(msgspec.Struct):
+    """A recorder's query; without `epoch`, it reads the newest leadership term of this node."""
 
     epoch: int | None = None
     after: int = 0
-    most: int = TRACE_MOST
+    most: int = MAX_TRACE_EVENTS
 
 
-class _Word(msgspec.Struct):
+class _ReleaseRequest(msgspec.Struct):
     job: str
     again: bool
     tasks: list[int] | None = None
 
 
-class _Drain(msgspec.Struct):
+class _DrainRequest(msgspec.Struct):
     machine: str
     on: bool
 
 
-class Operators:
+class OperatorApi:
+    """Handles operators' requests; commands are carried out by the owner."""
+
     def __init__(self, owner: Owner) -> None:
         self.owner = owner
 
     async def handle(self, path: str, body: bytes) -> tuple[int, bytes]:
-        """Status and answer. 421 names the leader where only it can answer."""
+        """Status and body. 421 names the leader if only the leader can answer."""
         try:
-            asked = wire.unpack(body)
+            payload = wire.unpack(body)
             if path == TRACE:
-                return self._trace(msgspec.convert(asked, _Ask))
+                return self._trace(msgspec.convert(payload, _TraceQuery))
             if not self.owner.leading:
                 return 421, wire.redirect_answer(self.owner.inbox.view.leader)
             if path == HELD:
-                return 200, wire.pack({"held": self._held()})
+                return 200, wire.pack({"held": self._held_tasks()})
             reply = asyncio.get_running_loop().create_future()
             if path == DRAIN:
-                order = msgspec.convert(asked, _Drain)
-                return await self._told(Drain(order.machine, order.on, reply))
-            word = msgspec.convert(asked, _Word)
-            return await self._told(Release(word.job, word.tasks, word.again, reply))
+                drain = msgspec.convert(payload, _DrainRequest)
+                return await self._submit_command(Drain(drain.machine, drain.on, reply))
+            release = msgspec.convert(payload, _ReleaseRequest)
+            return await self._submit_command(
+                Release(release.job, release.tasks, release.again, reply)
+            )
         except (wire.Malformed, msgspec.ValidationError) as error:
             return 400, wire.error(str(error))
 
-    def _trace(self, ask: _Ask) -> tuple[int, bytes]:
+    def _trace(self, query: _TraceQuery) -> tuple[int, bytes]:
         trace = self.owner.around.trace
         if trace is None:
-            return 404, wire.error("no trace is kept; set (trace EVENTS) in the operators' file")
-        answer = trace.read(ask.epoch, ask.after, min(max(ask.most, 1), TRACE_MOST))
+            return 404, wire.error("tracing is disabled; set (trace EVENTS) in the operators' file")
+        answer = trace.read(query.epoch, query.after, min(max(query.most, 1), MAX_TRACE_EVENTS))
         view = self.owner.inbox.view
         return 200, wire.pack(
             answer | {"leader": view.leader, "leading": self.owner.leading, "view": view.epoch}
         )
 
-    def _held(self) -> list[dict[str, Any]]:
+    def _held_tasks(self) -> list[dict[str, Any]]:
         return [
             {
                 "job": job.id,
@@ -83,13 +87,15 @@
             if job.held or job.given_up
         ]
 
-    async def _told(self, command: Release | Drain) -> tuple[int, bytes]:
-        """The owner's answer to an operator's word, which it gives after the commit."""
+    async def _submit_command(self, command: Release | Drain) -> tuple[int, bytes]:
+        """The owner's answer to an operator's command, given after its commit."""
         self.owner.put(command)
         try:
-            answer = await asyncio.wait_for(command.reply, RELEASE_S)
+            answer = await asyncio.wait_for(command.reply, COMMIT_TIMEOUT_S)
         except TimeoutError:
             answer = None
         if answer is None:
-            return 503, wire.error("not known whether it counted; look, and say it again")
+            return 503, wire.error(
+                "unknown whether the command was committed; check, then repeat it"
+            )
         return (404 if "error" in answer else 200), wire.pack(answer)
--- a/coveflow/daemon/owner.py
+++ b/coveflow/daemon/owner.py
@@ -18,7 +18,6 @@
 from coveflow import constants as c
 from coveflow.core.cancellations import Cancellations
 from coveflow.core.overload import BusyShare
-from coveflow.daemon.answers import Answers
 from coveflow.daemon.around import Around
 from coveflow.daemon.book import Book
 from coveflow.daemon.commands import (
@@ -42,10 +41,11 @@
     Vouched,
 )
 from coveflow.daemon.commits import Commits
-from coveflow.daemon.direct import Direct
+from coveflow.daemon.direct_requests import DirectRequests
 from coveflow.daemon.inbox import Inbox
 from coveflow.daemon.keeper import Keeper, want_fields
 from coveflow.daemon.planning import Planning
+from coveflow.daemon.report_answers import ReportAnswers
 from coveflow.daemon.reports import Reports, machine_fields
 from coveflow.daemon.restore import restore
 from coveflow.daemon.task_counts import TaskCounts
@@ -86,11 +86,11 @@
         """Nothing of an earlier lead is kept: the store is where it is known from."""
         around, inbox = self.around, self.inbox
         self.book = Book(around)
-        self.answers = Answers(around, inbox, self.book)
+        self.answers = ReportAnswers(around, inbox, self.book)
         self.reports = Reports(around, inbox, self.book, self.answers)
         self.commits = Commits(around, inbox, self.book, self.step_down)
         self.keeper = Keeper(around, inbox, self.book)
-        self.direct = Direct(around, self.book)
+        self.direct = DirectRequests(around, self.book)
         self.planning = Planning(around, inbox, self.book, self.keeper.rent)
         # Done and running tasks, for peers; of another interface's jobs also those placed.
         self.counts: dict[str, tuple[int, ...]] = {}
@@ -362,5 +362,5 @@
             self._show(counts)
 
     def _show(self, counts: Mapping[str, Sequence[int]]) -> None:
-        self.task_counts.heard(counts)
-        self.task_counts.keep(self.inbox.accepted.keys() | counts.keys())
+        self.task_counts.update(counts)
+        self.task_counts.retain(self.inbox.accepted.keys() | counts.keys())
--- a/coveflow/daemon/answers.py
+++ b/coveflow/daemon/report_answers.py
@@ -1,4 +1,4 @@
-"""Answers of the leader to workers' reports: the orders they bring, and how long they may wait."""
+"""The leader's answers to workers' reports: their orders, and how long they may be delayed."""
 
 from __future__ import annotations
 
@@ -17,51 +17,58 @@
 log = Log("coveflow.owner")
 
 
-class Answers:
+class ReportAnswers:
+    """Answers reports at once, or keeps them pending for a commit or new work."""
+
     def __init__(self, around: Around, inbox: Inbox, book: Book) -> None:
         self.around, self.inbox, self.book = around, inbox, book
         self.params = around.settings.params
-        self.due: list[tuple[float, int, str]] = []  # ends of waiting, a heap
-        self.due_no = itertools.count()
-        self.unasked = Seldom()
+        self.due: list[tuple[float, int, str]] = []  # deadlines of pending answers, a heap
+        self.sequence = itertools.count()
+        self.unplaced_log = Seldom()
 
     def answer_or_hold(
         self,
         m: Machine,
         report: Report,
         reply: asyncio.Future[bytes | None],
-        news: bool,
+        for_commit: bool,
         now: float,
         patient: bool,
     ) -> None:
-        held = Held(report, reply, 0.0, news, now)
-        # Just heard again, its lease is about to end, and an answer that waits comes too late.
-        hasty = now - m.resumed_at < self.book.patience
-        if news and not hasty:
-            # The commit of these ends will often bring the next run for the same worker.
-            held.until = now + c.HOLD_ANSWER_S
-        elif patient and not hasty and not self.orders(m, report, peek=True) and self._may_wait(m):
-            held.until = now + c.IDLE_ANSWER_PART * self.params.workers.report_s
-        if held.until > now:
-            self.book.held[m.id] = held
-            heapq.heappush(self.due, (held.until, next(self.due_no), m.id))
+        pending = Held(report, reply, 0.0, for_commit, now)
+        # The machine was silent until recently: its lease is about to end, so answer at once.
+        urgent = now - m.resumed_at < self.book.patience
+        if for_commit and not urgent:
+            # Committing these ends often yields the next run for the same worker.
+            pending.until = now + c.HOLD_ANSWER_S
+        elif (
+            patient
+            and not urgent
+            and not self.orders(m, report, peek=True)
+            and self._has_free_capacity(m)
+        ):
+            pending.until = now + c.IDLE_ANSWER_PART * self.params.workers.report_s
+        if pending.until > now:
+            self.book.held[m.id] = pending
+            heapq.heappush(self.due, (pending.until, next(self.sequence), m.id))
         else:
-            self.answer(m, held)
+            self.answer(m, pending)
 
-    def _may_wait(self, m: Machine) -> bool:
-        """A machine with room may be sent work in this answer if some turns up soon."""
+    def _has_free_capacity(self, m: Machine) -> bool:
+        """Whether it has free capacity, so that work arriving soon can go in this answer."""
         return m.ends_at is None and not m.returning and m.cpus >= 0.5
 
-    def answer(self, m: Machine, held: Held) -> None:
-        if not held.waits():
+    def answer(self, m: Machine, pending: Held) -> None:
+        if not pending.waits():
             return
-        orders = self.orders(m, held.report)
+        orders = self.orders(m, pending.report)
         m.last_answered_at = self.around.clock()
-        m.answer_receipt.record_answer(held.report, orders, m.last_answered_at)
-        held.give(self.around.answer(self.book.leading, orders))
+        m.answer_receipt.record_answer(pending.report, orders, m.last_answered_at)
+        pending.give(self.around.answer(self.book.leading, orders))
 
     def orders(self, m: Machine, report: Report, peek: bool = False) -> list[Order]:
-        """What the worker should do, given what it last said. `run` and `clear` go only here."""
+        """Orders for the worker, given its report. `run` and `clear` are sent only this way."""
         orders: list[Order] = []
         present: set[tuple[str, int, int]] = set()
         for t in report.tasks:
@@ -69,18 +76,18 @@
             present.add(key)
             p = m.placements.get(key)
             if t.state == "exited":
-                # An end is cleared only after its commit: the report is its only proof.
+                # Clear an end only after its commit: until then the report is the only proof of it.
                 if p is None and key not in m.uncommitted_ends:
                     orders.append(Order("clear", *key))
             elif p is None and self.inbox.cancelled(t.job):
-                orders.append(Order("stop", *key))  # whoever started it
+                orders.append(Order("stop", *key))  # whichever leader started it
             elif p is None:
                 if key not in m.uncommitted_ends and report.epoch == self.book.leading:
-                    count = 0 if peek else self.unasked.due(self.around.clock())
+                    count = 0 if peek else self.unplaced_log.due(self.around.clock())
                     if count:
                         log.warning(
-                            "tasks run unasked", count=count, machine=m.id, job=t.job, task=t.task,
-                            number=t.number,
+                            "tasks run without a placement", count=count, machine=m.id,
+                            job=t.job, task=t.task, number=t.number,
                         )  # fmt: skip
                     orders.append(Order("stop", *key))
             elif p.stopping and (t.state != "flushing" or p.grace_s <= 0):
@@ -91,7 +98,7 @@
                 if p.tenure != m.tenure or job.may_have_run_unreported(p):
                     continue
                 if self.inbox.cancelled(p.job):
-                    continue  # by whatever word: the book may hear of it a moment later
+                    continue  # the in-memory state may learn of the cancellation later
                 orders.append(Order("run", *p.key))
                 if not peek:
                     if p.sent_with_report < 0:
@@ -104,36 +111,36 @@
         return orders
 
     def flush(self, now: float) -> None:
-        """Answer what is ready or has waited long enough, without a look at the rest."""
+        """Send pending answers that are ready or past their deadline, without a full scan."""
         book = self.book
-        look, book.hot = book.hot, {}
+        candidates, book.hot = book.hot, {}
         while self.due and self.due[0][0] <= now:
-            look[heapq.heappop(self.due)[2]] = None
-        for machine in look:
-            held = book.held.get(machine)
-            if held is None:
+            candidates[heapq.heappop(self.due)[2]] = None
+        for machine in candidates:
+            pending = book.held.get(machine)
+            if pending is None:
                 continue
             m = book.machines.get(machine)
-            if m is None or not held.waits():
+            if m is None or not pending.waits():
                 del book.held[machine]
-                held.give(None)
+                pending.give(None)
                 continue
-            if held.for_commit:
-                # With the ends goes the next run: an answer sent between the commit of an end
-                # and the next pass left the room empty until the following report.
+            if pending.for_commit:
+                # Wait for the planning pass after the commit of the ends: an answer sent before it
+                # would leave the freed capacity unused until the following report.
                 ready = (
                     not m.uncommitted_ends
                     and machine not in book.dirty_machines
-                    and book.passed_at >= held.since
+                    and book.passed_at >= pending.since
                 )
             else:
                 ready = any(
                     p.committed
                     and not p.stopping
-                    and p.sent_with_report < held.report.counter
+                    and p.sent_with_report < pending.report.counter
                     and not p.state
                     for p in m.placements.values()
                 )
-            if ready or now >= held.until:
+            if ready or now >= pending.until:
                 del book.held[machine]
-                self.answer(m, held)
+                self.answer(m, pending)
--- a/coveflow/daemon/intake.py
+++ b/coveflow/daemon/report_intake.py
@@ -1,4 +1,4 @@
-"""Reports at the leader: put to the owner, wherever they come from, and answered when it says."""
+"""Reports at the leader: from all sources, queued for the owner and answered once it replies."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from coveflow.membership.report_batches import BatchedAnswer, BatchReceiver
 
 
-class Intake:
-    """The leader's way in for reports: its own workers', relayed ones and homes' batches."""
+class ReportIntake:
+    """Accepts reports of the leader's own workers, relayed reports and home nodes' batches."""
 
     def __init__(
         self,
@@ -31,31 +31,31 @@
         self.owner, self.peers, self.clock = owner, peers, clock
         self.arrivals, self.unreadable = arrivals, unreadable
         self.inlet = BatchReceiver(clock)
-        self.adopting: set[asyncio.Task[None]] = set()
+        self.pending_answers: set[asyncio.Task[None]] = set()
 
     def may_renew(self) -> bool:
-        """Whether a lease renewed now still ends before any unknown cancellation's limit."""
+        """Whether a lease renewed now ends before any unknown cancellation's deadline."""
         return self.owner.cancellations.may_renew(self.clock())
 
     async def answer(self, report: Report, patient: bool = True) -> bytes | None:
-        """The owner's answer to the report; None if it gave none while the worker waits.
+        """The owner's answer to the report; None if there is none before the worker's timeout.
 
-        A `patient` report may wait for new work.
+        The answer to a `patient` report may be delayed until there is new work.
         """
         reply: asyncio.Future[bytes | None] = asyncio.get_running_loop().create_future()
         self.owner.put(Heard(report, reply, patient))
         try:
             return await asyncio.wait_for(reply, c.ANSWER_S)
         except TimeoutError:
-            return None  # the worker has given up by now
+            return None  # the worker's request has timed out by now
 
-    def take_evidence(self, report: Report) -> None:
-        """Take in a report that is evidence; its worker was redirected, which is answer enough."""
-        unasked = BatchedAnswer((report.machine, report.tenure, report.counter), [])
-        self.owner.put(Heard(report, unasked, asked=False))
+    def record_evidence(self, report: Report) -> None:
+        """Record a redirected worker's report as evidence; the redirect was its answer."""
+        no_reply = BatchedAnswer((report.machine, report.tenure, report.counter), [])
+        self.owner.put(Heard(report, no_reply, asked=False))
 
-    async def relayed(self, body: bytes) -> bytes | None:
-        """Answer a report that another node could not redirect; None if it can't be answered."""
+    async def answer_relayed(self, body: bytes) -> bytes | None:
+        """Answer a report relayed by another node; None if it can't be answered."""
         if not self.owner.leading or not self.may_renew():
             return None
         try:
@@ -63,14 +63,14 @@
         except wire.Malformed:
             return None
 
-    async def batch(self, _: str, body: bytes) -> tuple[int, bytes]:
-        """Take in a home's batch; status and body, with all that is ready for that home."""
+    async def answer_batch(self, _: str, body: bytes) -> tuple[int, bytes]:
+        """Accept a home node's batch; returns status and body, with all answers ready for it."""
         if not self.owner.leading or not self.may_renew():
             return 503, b""
         try:
             data = wire.unpack(body)
             boot, bodies = str(data["boot"]), list(data["reports"])
-            redirected = list(data.get("seen") or ())  # reports whose workers were sent elsewhere
+            redirected = list(data.get("seen") or ())  # reports of workers that were redirected
         except (wire.Malformed, KeyError, TypeError):
             return 400, b""
         self.arrivals.record_batch(self.clock())
@@ -78,21 +78,23 @@
             key = (report.machine, report.tenure, report.counter)
             self.owner.put(Heard(report, self.inlet.open_answer(boot, key)))
         for report in self.unreadable.readable(redirected):
-            self.take_evidence(report)
-        await asyncio.sleep(0)  # the owner works through them first
+            self.record_evidence(report)
+        await asyncio.sleep(0)  # lets the owner process them first
         answers = self.inlet.collect(boot)
         answer: dict[str, Any] = {"epoch": self.owner.leading, "answers": answers}
         if data.get("ask"):
-            answer["info"] = self.peers.info()  # in a ping's place
+            answer["info"] = self.peers.info()  # replaces a ping
         return 200, wire.pack(answer)
 
-    def adopt(self, report: Report, answered: asyncio.Future[Any], patient: bool) -> None:
-        """Answer a report that waited for another leader when this node took the lead."""
-        task = asyncio.get_running_loop().create_task(self._give(report, answered, patient))
-        self.adopting.add(task)
-        task.add_done_callback(self.adopting.discard)
+    def answer_pending(self, report: Report, answered: asyncio.Future[Any], patient: bool) -> None:
+        """Answer a report that was waiting for the previous leader when this node became leader."""
+        task = asyncio.get_running_loop().create_task(self._answer_into(report, answered, patient))
+        self.pending_answers.add(task)
+        task.add_done_callback(self.pending_answers.discard)
 
-    async def _give(self, report: Report, answered: asyncio.Future[Any], patient: bool) -> None:
+    async def _answer_into(
+        self, report: Report, answered: asyncio.Future[Any], patient: bool
+    ) -> None:
         answer = await self.answer(report, patient)
         if not answered.done() and answer is not None:
             answered.set_result(answer)
--- a/coveflow/daemon/reports.py
+++ b/coveflow/daemon/reports.py
@@ -7,11 +7,11 @@
 
 from coveflow import constants as c
 from coveflow.core.model import Job, Machine, Placement, Report
-from coveflow.daemon.answers import Answers
 from coveflow.daemon.around import Around
 from coveflow.daemon.book import Book
 from coveflow.daemon.commands import Heard
 from coveflow.daemon.inbox import Inbox
+from coveflow.daemon.report_answers import ReportAnswers
 from coveflow.logs import Log
 
 log = Log("coveflow.owner")
@@ -25,7 +25,7 @@
 
 
 class Reports:
-    def __init__(self, around: Around, inbox: Inbox, book: Book, answers: Answers) -> None:
+    def __init__(self, around: Around, inbox: Inbox, book: Book, answers: ReportAnswers) -> None:
         self.around, self.inbox, self.book, self.answers = around, inbox, book, answers
         self.params = around.settings.params
         self.any_heard = False
--- a/coveflow/daemon/submissions.py
+++ b/coveflow/daemon/submissions.py
@@ -1,4 +1,4 @@
-"""Submissions on their way to the store: those that wait at the same time share a transaction."""
+"""Group commit of submissions: those that wait at the same time share a store transaction."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 log = Log("coveflow.front")
 
 
-class TooMany(Unavailable):
-    """More submissions than can be written in time; `after_s` is when to come again."""
+class TooManySubmissions(Unavailable):
+    """More submissions wait than can be written in time; retry after `after_s` seconds."""
 
     def __init__(self, after_s: int) -> None:
-        super().__init__(f"too many submissions; again after {after_s} s")
+        super().__init__(f"too many submissions; retry after {after_s} s")
         self.after_s = after_s
 
 
 @dataclass(eq=False)
 class Submission:
-    """A job's record that is to be written; `revision` is None where the job is known already."""
+    """A job's record to be written; `revision` resolves to None if the job exists already."""
 
     job: str
     record: Any
@@ -46,7 +46,7 @@
 
 
 class Submissions:
-    """Whoever waits longest of each team is written next; a queue that is full refuses."""
+    """A bounded queue, fair among teams and written to the store in batches."""
 
     def __init__(
         self, store: Store, txn_ops: int, clock: Callable[[], float], meters: Meters
@@ -56,16 +56,17 @@
         self.writer: asyncio.Task[None] | None = None
 
     async def write(self, job: str, record: Any, flow: admission.Flow) -> int | None:
-        """Write the job's record with what else is waiting; None when the job is known already.
+        """Write the job's record in a batch with others; None if the job exists already.
 
-        Raises TooMany for what could not be written before its user gives it up: told at once.
+        Raises TooManySubmissions at once if the record could not be written before the user's
+        request times out.
         """
         rate = self.store.changes.rate
-        bound = max(c.SUBMIT_LEAST, int(rate * c.SUBMIT_WAIT_S))
+        max_waiting = max(c.SUBMIT_LEAST, int(rate * c.SUBMIT_WAIT_S))
         waiting, teams = len(self.waiting), len(self.waiting.teams.keys() | {flow[0]})
-        if not admission.admits(waiting, self.waiting.waiting_of(flow[0]), teams, bound):
+        if not admission.admits(waiting, self.waiting.waiting_of(flow[0]), teams, max_waiting):
             self.meters.add("submissions refused")
-            raise TooMany(admission.retry_after_s(waiting, rate, random.random()))
+            raise TooManySubmissions(admission.retry_after_s(waiting, rate, random.random()))
         submission = Submission(job, record, asyncio.get_running_loop().create_future())
         self.waiting.add(flow, submission)
         if self.writer is None or self.writer.done():
@@ -75,14 +76,14 @@
     async def _write_all(self) -> None:
         while self.waiting:
             records: dict[str, Any] = {}
-            # Two submissions of one id at once: the second sees the first's outcome.
-            batch = self.waiting.take(self._batch_size(), partial(_first_of_its_id, records))
+            # Of two concurrent submissions of one id, the second sees the outcome of the first.
+            batch = self.waiting.take(self._batch_size(), partial(_first_for_job, records))
             await self._write_batch(batch, records)
 
     def _batch_size(self) -> int:
-        """No more than can be paid for at once: whoever comes meanwhile waits for the next batch.
+        """No more changes than the rate limit allows at once; later arrivals join the next batch.
 
-        24 changes of a share of 15 a second took 1.6 s.
+        Larger batches delay all of their submissions: at 15 changes/s, a batch of 24 took 1.6 s.
         """
         changes = self.store.changes
         size = max(int(changes.refill()), int(changes.rate * c.SUBMIT_BATCH_S), 1)
@@ -108,7 +109,7 @@
                 submission.settle(revision)
 
     def _settle_known(self, batch: list[Submission], known: set[str]) -> None:
-        """The others go into the next batch: one conflict must not fail them."""
+        """Settle submissions of jobs that exist; requeue the others, which did not conflict."""
         for submission in batch:
             if submission.job in known or not known:
                 submission.settle(None)
@@ -116,5 +117,5 @@
                 self.waiting.add(("", ""), submission)
 
 
-def _first_of_its_id(records: dict[str, Any], submission: Submission) -> bool:
+def _first_for_job(records: dict[str, Any], submission: Submission) -> bool:
     return records.setdefault(submission.job, submission.record) is submission.record
--- a/coveflow/daemon/task_counts.py
+++ b/coveflow/daemon/task_counts.py
@@ -1,8 +1,8 @@
-"""How many tasks of each job are done and running, as this node tells users.
+"""Numbers of done and running tasks of each job, as this node reports them to users.
 
-Only the leader counts; the others hear its counts with its pings. The protocol has them for
-display, and still the count of done tasks must not fall from one answer to the next: a leader
-counts only ends that are committed, and a node keeps the highest count that it heard.
+Only the leader counts; other nodes receive its counts with its pings. The counts are for display
+only, yet the number of done tasks must not decrease from one answer to the next: a leader counts
+only committed ends, and a node keeps the highest number it has received.
 """
 
 from __future__ import annotations
@@ -13,35 +13,35 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskCount:
-    """Tasks of a job; `placed` is counted for another interface's jobs only."""
+    """Task counts of a job; `placed` is counted only for jobs of other interfaces."""
 
     done: int = 0
     running: int = 0
     placed: int = 0
 
 
-UNKNOWN = TaskCount()
+ZERO_COUNT = TaskCount()
 
 
 class TaskCounts:
-    """The newest counts by job, of jobs that are accepted and not over."""
+    """The newest counts of active jobs."""
 
     def __init__(self) -> None:
         self._counts: dict[str, TaskCount] = {}
 
-    def heard(self, counts: Mapping[str, Sequence[int]]) -> None:
-        """Take in what the leader counts; it may name a part of the jobs."""
+    def update(self, counts: Mapping[str, Sequence[int]]) -> None:
+        """Merge counts from the leader, which may cover only some of the jobs."""
         for job, row in counts.items():
             count = TaskCount(*row[:3])
-            before = self._counts.get(job, UNKNOWN)
-            done = max(before.done, count.done)
+            previous = self._counts.get(job, ZERO_COUNT)
+            done = max(previous.done, count.done)
             self._counts[job] = TaskCount(done, count.running, count.placed)
 
-    def keep(self, jobs: Collection[str]) -> None:
-        """Forget all jobs but these."""
+    def retain(self, jobs: Collection[str]) -> None:
+        """Drop the counts of all jobs but these."""
         for job in [job for job in self._counts if job not in jobs]:
             del self._counts[job]
 
-    def of(self, job: str) -> TaskCount:
-        """As last heard, by any lead; zeros where nothing was heard."""
-        return self._counts.get(job, UNKNOWN)
+    def get(self, job: str) -> TaskCount:
+        """The newest counts from any leader; zeros if there are none."""
+        return self._counts.get(job, ZERO_COUNT)
--- a/coveflow/daemon/front.py
+++ b/coveflow/daemon/user_api.py
@@ -1,4 +1,4 @@
-"""The users' interface over HTTP: its paths, statuses and limits, and this node's health."""
+"""HTTP API for users: paths, status codes and limits, and the node's health endpoint."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from coveflow.core.feasibility import Infeasible, infeasible
 from coveflow.core.model import Spec
 from coveflow.daemon import owner as o
-from coveflow.daemon.submissions import TooMany
+from coveflow.daemon.submissions import TooManySubmissions
 from coveflow.daemon.user_jobs import Created, JobStatus, Refused, UserJobs
 from coveflow.logs import Log
 from coveflow.membership.peers import Peers
@@ -22,12 +22,12 @@
 
 log = Log("coveflow.front")
 
-RETRY_AT_ONCE = {"Retry-After": "1"}
+RETRY_AFTER_1S = {"Retry-After": "1"}
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
 
-class Front:
-    """Answers what users send; workers' reports and other interfaces' paths go to their own."""
+class UserApi:
+    """Serves user requests; worker reports and other interfaces' paths go to their own handlers."""
 
     def __init__(
         self,
@@ -37,34 +37,39 @@
         peers: Peers,
         clock: Callable[[], float],
         wall: Callable[[], float],
-        beat: Callable[[bytes], Awaitable[web.StreamResponse]],
+        handle_report: Callable[[bytes], Awaitable[web.StreamResponse]],
     ) -> None:
         self.settings, self.owner, self.store, self.peers = settings, owner, store, peers
-        self.clock, self.beat = clock, beat
+        self.clock, self.handle_report = clock, handle_report
         self.teams = {team.name: team for team in settings.params.teams}
         self.jobs = UserJobs(
             owner, store, settings.params.state.txn_ops, clock, wall,
             lambda spec: self.refusal(spec),
         )  # fmt: skip
-        # What another interface serves here: by the path's beginning.
-        self.extra: dict[str, Handler] = {}
+        # Handlers of other interfaces by path prefix.
+        self.extra_handlers: dict[str, Handler] = {}
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Route one request; what is not available now is a status its sender retries after."""
+        """Route one request; unavailability becomes a status that tells the client to retry."""
         try:
             return await self._route(request)
         except TooLarge:
             return web.Response(status=413, headers={"Connection": "close"})
-        except TooMany as error:
+        except TooManySubmissions as error:
             return web.Response(status=429, headers={"Retry-After": str(error.after_s)})
         except Unavailable as error:
-            log.debug("not answered", method=request.method, path=request.path, why=error)
-            return web.Response(status=503, headers=RETRY_AT_ONCE)
+            log.debug(
+                "request failed; client should retry",
+                method=request.method,
+                path=request.path,
+                why=error,
+            )
+            return web.Response(status=503, headers=RETRY_AFTER_1S)
 
     async def _route(self, request: web.BaseRequest) -> web.StreamResponse:
         path, method = request.path, request.method
         if path == wire.BEAT and method == "POST":
-            return await self.beat(await read_body(request))
+            return await self.handle_report(await read_body(request))
         if path == wire.UP and method == "GET":
             return web.Response(status=200 if self.healthy() else 503)
         if path == wire.WORK and method == "POST":
@@ -77,17 +82,18 @@
             if method == "POST" and rest != name and wire.JOB_ID.fullmatch(name):
                 await read_body(request)
                 return await self.abort(name)
-        for beginning, serve in self.extra.items():
-            if path.startswith(beginning):
+        for prefix, serve in self.extra_handlers.items():
+            if path.startswith(prefix):
                 return await serve(request)
-        return answer(404, wire.error("no such path or job"))
+        return cbor_response(404, wire.error("no such path or job"))
 
     def healthy(self) -> bool:
-        """A blip of the store that all nodes see makes none of them unhealthy."""
+        """Whether users should use this node; a store outage seen by all makes none unhealthy."""
         if not self.owner.inbox.flavors:
             return False
         stale = self.clock() - self.store.contact_at > c.STALE_S
-        # One that lost the others as well can answer nobody, and kept its users for the whole cut.
+        # A node that lost its peers as well cannot answer either: reporting healthy would keep its
+        # users on it for the whole partition.
         return not (stale and (self.peers.peer_reaches_store() or self.peers.all_silent()))
 
     # --- submissions, polls and cancellations ---------------------------------------------
@@ -97,34 +103,34 @@
             spec = wire.read_work(body)
         except wire.Malformed as error:
             name = wire.work_id(body)
-            # An accepted id must never get 400, whatever the repeated body holds.
+            # An accepted job must never get 400, whatever a repeated submission contains.
             known = await self.jobs.status(name) if name else None
-            return state(known) if known else answer(400, wire.error(str(error)))
+            return job_response(known) if known else cbor_response(400, wire.error(str(error)))
         match await self.jobs.submit(spec):
             case Created(job):
-                return answer(201, wire.job_answer(job, "queued"))
+                return cbor_response(201, wire.job_answer(job, "queued"))
             case Refused(reason):
-                return answer(422, wire.error(reason))
+                return cbor_response(422, wire.error(reason))
             case JobStatus() as known:
-                return state(known)
+                return job_response(known)
 
     def refusal(self, spec: Spec) -> Infeasible | None:
-        """Why the job can never run, or nothing."""
+        """Why the job can never run; None if it can."""
         return infeasible(spec, self.teams.get(spec.team), self.owner.inbox.flavors.values())
 
     async def poll(self, name: str) -> web.StreamResponse:
         try:
             async with asyncio.timeout(c.POLL_S):
-                return state(await self.jobs.status(name))
+                return job_response(await self.jobs.status(name))
         except TimeoutError as error:
             raise Unavailable("the state service is slow") from error
 
     async def abort(self, name: str) -> web.StreamResponse:
-        return state(await self.jobs.request_cancel(name))
+        return job_response(await self.jobs.request_cancel(name))
 
 
 class TooLarge(Exception):
-    """A request body over the limit."""
+    """The request body exceeds the size limit."""
 
 
 async def read_body(request: web.BaseRequest) -> bytes:
@@ -138,12 +144,12 @@
     return bytes(body)
 
 
-def answer(status: int, body: bytes) -> web.Response:
+def cbor_response(status: int, body: bytes) -> web.Response:
     return web.Response(status=status, body=body, content_type="application/cbor")
 
 
-def state(known: JobStatus | None) -> web.Response:
-    """200 with the job's state, or 404 where there is no such job."""
+def job_response(known: JobStatus | None) -> web.Response:
+    """200 with the job's state, or 404 if there is no such job."""
     if known is None:
-        return answer(404, wire.error("no such job"))
-    return answer(200, wire.job_answer(known.job, known.status, known.done, known.running))
+        return cbor_response(404, wire.error("no such job"))
+    return cbor_response(200, wire.job_answer(known.job, known.status, known.done, known.running))
--- a/coveflow/daemon/user_jobs.py
+++ b/coveflow/daemon/user_jobs.py
@@ -1,4 +1,4 @@
-"""What users ask of their jobs: to accept one, to tell its state, to cancel it."""
+"""Job operations for users: submission, status and cancellation."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class JobStatus(msgspec.Struct, frozen=True):
-    """A job's state for its user; counts only where they are known."""
+    """A job's state as shown to its user; `done` is None where the count is not known."""
 
     job: str
     status: str  # queued, running, done or cancelled
@@ -36,7 +36,7 @@
 
 
 class Created(msgspec.Struct, frozen=True):
-    """The job is accepted now."""
+    """The job was accepted by this request."""
 
     job: str
 
@@ -48,18 +48,19 @@
 
 
 class ForeignJob(Exception):
-    """The job is another interface's."""
+    """The job was submitted through another interface."""
 
 
 def rider_of(found: cm.Accepted | Record) -> Any:
-    """What another interface keeps with the job; None for a native one."""
+    """The data that another interface stores with the job; None for a native job."""
     return found.rider if isinstance(found, cm.Accepted) else found.get("rider")
 
 
 class UserJobs:
-    """Every answer is the store's word at some moment after its request came.
+    """Serves job requests with linearizable reads.
 
-    Raises Unavailable where that word is not to be had: the user asks again.
+    Every answer reflects the store's state at some moment after the request arrived. Raises
+    Unavailable where the store cannot be read; the user retries.
     """
 
     def __init__(
@@ -71,7 +72,7 @@
         wall: Callable[[], float],
         refusal: Callable[[Spec], Infeasible | None],
     ) -> None:
-        """`refusal` tells why a job can never run, or nothing."""
+        """`refusal` returns why a job can never run, or None."""
         self.owner, self.store = owner, store
         self.clock, self.wall, self.refusal = clock, wall, refusal
         self.submissions = Submissions(store, txn_ops, clock, owner.around.meters)
@@ -80,7 +81,7 @@
     # --- submissions -------------------------------------------------------------------
 
     async def submit(self, spec: Spec) -> Created | JobStatus | Refused:
-        """Accept the job, or tell the state of one that is accepted already."""
+        """Accept the job, or return the state of a job that was accepted before under this id."""
         inbox = self.owner.inbox
         if spec.id in inbox.terminal or spec.id in inbox.accepted:
             known = await self.status(spec.id)
@@ -90,24 +91,24 @@
             raise Unavailable("machine types are not known yet")
         refusal = self.refusal(spec)
         if refusal:
-            # An accepted id is never refused, whatever the repeated submission holds.
+            # An accepted job is never refused, whatever a repeated submission contains.
             return await self.status(spec.id) or Refused(refusal)
         types = allowed_types(spec, inbox.flavors.values())
         spec = msgspec.structs.replace(spec, types=types)
         record = {"spec": msgspec.to_builtins(spec), "at": self.wall()}
-        began = self.clock()
+        started_at = self.clock()
         accepted = await self.accept(spec.id, record, (spec.team, spec.workload))
-        self.owner.around.meters.record_duration("submission committed", self.clock() - began)
+        self.owner.around.meters.record_duration("submission committed", self.clock() - started_at)
         if accepted:
             log.info("job accepted", job=spec.id)
             return Created(spec.id)
         known = await self.status(spec.id)
         if known is None:
-            raise Unavailable("the job was there and is not")
+            raise Unavailable("the job's record disappeared while it was read")
         return known
 
     async def accept(self, name: str, record: Any, flow: admission.Flow = ("", "")) -> bool:
-        """Commit the record; False when the job is known already. Raises TooMany."""
+        """Commit the record; False if the job exists already. Raises TooManySubmissions."""
         rev = await self.submissions.write(name, record, flow)
         if rev is None:
             return False
@@ -117,26 +118,26 @@
     # --- states ------------------------------------------------------------------------
 
     async def status(self, name: str) -> JobStatus | None:
-        """The job's state by the store's word, or None if it was never accepted."""
+        """The job's state according to the store, or None if it was never accepted."""
         found = await self.find(name)
         if found is None or rider_of(found) is not None:
-            return None  # another interface's jobs are none of this one's
+            return None  # jobs of another interface are not visible here
         if not isinstance(found, cm.Accepted):
             return JobStatus(name, found["status"], found["done"])
-        count = self.owner.task_counts.of(name)
+        count = self.owner.task_counts.get(name)
         if found.cancelled is not None:
             return JobStatus(name, "cancelled", count.done)
         status = "running" if count.running else "queued"
         return JobStatus(name, status, count.done, count.running)
 
     async def find(self, name: str) -> cm.Accepted | Record | None:
-        """A job by the store's word: accepted, its final record, or None if never accepted."""
+        """Look a job up in the store: accepted, its final record, or None if never accepted."""
         final = self.owner.inbox.terminal.get(name)
         if final is not None:
             return final
         comparison = await self.comparisons.compare(name)
-        if comparison.same:
-            return self._newest(name, comparison.known)
+        if comparison.unchanged:
+            return self._with_local_updates(name, comparison.known)
         return await self._read(name)
 
     async def _read(self, name: str) -> cm.Accepted | Record | None:
@@ -145,27 +146,29 @@
             try:
                 found = cm.accepted_of(msgspec.convert(value["spec"], Spec), value, rev)
             except UNREADABLE:
-                return self._unreadable(name, value)
-            return self._newest(name, found)
-        # Jobs only ever move from the one key to the other, so this order misses none.
+                return self._state_of_unreadable(name, value)
+            return self._with_local_updates(name, found)
+        # A job moves from the active key to the final one, never back: this order misses none.
         value, _ = await self.store.get(sk.FINAL_RECORD + name)
         if value is not None:
             self.owner.inbox.remember_terminal(name, value)
         return value
 
-    def _unreadable(self, name: str, value: Any) -> Record:
-        """Accepted it is, whatever else its record holds."""
+    def _state_of_unreadable(self, name: str, value: Any) -> Record:
+        """The state of a job whose record cannot be decoded: it was accepted nevertheless."""
         if isinstance(value, dict) and value.get("cancel") is not None:
-            self._confirm(name, value["cancel"])
+            self._announce_cancellation(name, value["cancel"])
             return {"status": "cancelled", "done": 0}
         return {"status": "queued", "done": 0}
 
-    def _newest(self, name: str, found: cm.Accepted | None) -> cm.Accepted | Record | None:
-        """What the store said, or what users were told here while its answer was on its way.
+    def _with_local_updates(
+        self, name: str, found: cm.Accepted | None
+    ) -> cm.Accepted | Record | None:
+        """Combine the store's answer with what this node told users while it was in transit.
 
-        What was compared counts, not what this node knows by now: a job that ended meanwhile is no
-        unknown one. But a user may have the answer already that the job is over, is cancelled or
-        was accepted, and an older one went back.
+        The base is the state that was compared, not what this node knows by now: otherwise a job
+        that ended meanwhile would look unknown. But a user may already have been told that the job
+        is finished, cancelled or accepted, and must not get an older state after that.
         """
         inbox = self.owner.inbox
         final = inbox.terminal.get(name)
@@ -177,14 +180,14 @@
         if found is not None and found.cancelled is None and since is not None:
             found = msgspec.structs.replace(found, cancelled=since)
         if found is not None and found.cancelled is not None:
-            self._confirm(name, found.cancelled)
+            self._announce_cancellation(name, found.cancelled)
         return found
 
-    def _confirm(self, name: str, cancelled: object) -> None:
-        """Peers must learn from this process what its user is about to be told.
+    def _announce_cancellation(self, name: str, cancelled: object) -> None:
+        """Announce a cancellation to the peers before the user is told of it.
 
-        Whoever wrote the cancellation may have told nobody. One whose final record is written needs
-        no word: all its tasks were proven gone before.
+        The node that wrote the cancellation may not have announced it. A job with a final record
+        needs no announcement: all its tasks were proven to have ended before.
         """
         at = cancelled if isinstance(cancelled, int | float) else self.wall()
         self.owner.confirm(name, at)
@@ -192,7 +195,7 @@
     # --- cancellations -----------------------------------------------------------------
 
     async def request_cancel(self, name: str) -> JobStatus | None:
-        """Cancel a native job; its state then, or None if it was never accepted."""
+        """Cancel a native job; returns its state after that, or None if it was never accepted."""
         try:
             if await self.cancel(name, native=True):
                 return JobStatus(name, "cancelled")
@@ -200,20 +203,20 @@
             return None
         found = await self.find(name)
         if isinstance(found, cm.Accepted):
-            # Accepted since the record was read. "queued" with 200 once answered the request to
-            # cancel it, and nobody had; the user repeats it after this.
-            raise Unavailable("the job was accepted meanwhile")
+            # Accepted after the record was read, so the job is not cancelled: a 200 with "queued"
+            # would hide that. The user repeats the request after this error.
+            raise Unavailable("the job was accepted while it was being cancelled")
         return await self.status(name)
 
     async def cancel(self, name: str, native: bool = False) -> bool:
-        """Commit that the user cancelled the job; False if it is over or was never accepted.
+        """Commit the user's cancellation; False if the job is finished or was never accepted.
 
-        Raises ForeignJob for another interface's job where only a native one is meant: that
-        interface asks for rights which this one does not know.
+        With `native`, raises ForeignJob for a job of another interface, since that interface
+        checks access rights that are not known here.
         """
         cancelled_at: Any = None
 
-        def mark(record: Record) -> Record | None:
+        def add_cancellation(record: Record) -> Record | None:
             nonlocal cancelled_at
             if native and record.get("rider") is not None:
                 raise ForeignJob
@@ -223,18 +226,18 @@
             cancelled_at = self.wall()
             return {**record, "cancel": cancelled_at}
 
-        if not await self._amend(name, mark):
+        if not await self._update_record(name, add_cancellation):
             return False
-        # Peers must learn of it from this process before its user does.
+        # Peers must learn of the cancellation from this process before its user does.
         self.owner.confirm(name, cancelled_at)
         log.info("job cancelled by its user", job=name)
         return True
 
-    async def _amend(self, name: str, change: Callable[[Record], Record | None]) -> bool:
-        """Change an accepted job's record, whatever else changes it; False if it is not there.
+    async def _update_record(self, name: str, change: Callable[[Record], Record | None]) -> bool:
+        """Update an accepted job's record, retrying on conflicts; False if there is no record.
 
-        `change` takes the record as the store has it, and gives the new one, or None where it is
-        as wanted already. Raises Unavailable or Unsure when the store's word does not come.
+        `change` takes the stored record and returns the new one, or None if no change is needed.
+        Raises Unavailable or Unsure if the store does not answer.
         """
         deadline = self.clock() + c.SUBMIT_S
         while True:
--- a/coveflow/lab/planted.py
+++ b/coveflow/lab/planted.py
@@ -8,11 +8,11 @@
 
 from coveflow.core.cancellations import Cancellations
 from coveflow.daemon import owner as o
-from coveflow.daemon.answers import Answers
 from coveflow.daemon.book import Book
 from coveflow.daemon.commands import Held
 from coveflow.daemon.inbox import Inbox
 from coveflow.daemon.keeper import Keeper
+from coveflow.daemon.report_answers import ReportAnswers
 from coveflow.lab import choices as mc
 from coveflow.state import keys as sk
 
@@ -56,19 +56,22 @@
 @contextlib.contextmanager
 def clear_before_commit() -> Iterator[None]:
     """An end is cleared on the machine before the records know of it."""
-    honest = Answers.orders
+    honest = ReportAnswers.orders
 
-    def orders(self: Answers, m: Any, report: Any, peek: bool = False) -> Any:
+    def orders(self: ReportAnswers, m: Any, report: Any, peek: bool = False) -> Any:
         held, m.uncommitted_ends = m.uncommitted_ends, set()
         try:
             return honest(self, m, report, peek)
         finally:
             m.uncommitted_ends = held
 
-    def at_once(self: Answers, m: Any, report: Any, reply: Any, *_: Any) -> None:
+    def at_once(self: ReportAnswers, m: Any, report: Any, reply: Any, *_: Any) -> None:
         self.answer(m, Held(report, reply, 0.0, False))
 
-    with _patched(Answers, "orders", orders), _patched(Answers, "answer_or_hold", at_once):
+    with (
+        _patched(ReportAnswers, "orders", orders),
+        _patched(ReportAnswers, "answer_or_hold", at_once),
+    ):
         yield
 
 
--- a/coveflow/lab/virtual.py
+++ b/coveflow/lab/virtual.py
@@ -652,7 +652,7 @@
         )  # fmt: skip
         place.node = node
         node.owner.around.batch_s = lambda reports, _: self._spend(place, reports)
-        place.handlers = {f"{name}:80": node.front.handle, f"{name}:81": node.peers.handle}
+        place.handlers = {f"{name}:80": node.user_api.handle, f"{name}:81": node.peers.handle}
         self.places[name] = place
         self.booted.append(place)
         place.loop.create_task(node.work())
--- a/coveflow/tes/service.py
+++ b/coveflow/tes/service.py
@@ -221,7 +221,7 @@
 
     def _state(self, name: str, found: cm.Accepted | dict[str, Any]) -> State:
         if isinstance(found, cm.Accepted):
-            count = self.jobs.owner.task_counts.of(name)
+            count = self.jobs.owner.task_counts.get(name)
             return mapping.live_state(found.cancelled is not None, count.running, count.placed)
         return mapping.final_state(found)
 
--- a/coveflow/tes/start.py
+++ b/coveflow/tes/start.py
@@ -11,8 +11,8 @@
 from aiohttp import web
 
 from coveflow import forms, wire
-from coveflow.daemon.front import read_body
 from coveflow.daemon.node import Node
+from coveflow.daemon.user_api import read_body
 from coveflow.logs import Log
 from coveflow.net.http import Unavailable
 from coveflow.settings import SettingsError, Tes, address
@@ -48,7 +48,7 @@
     settings = node.settings
     ledger = Ledger(settings, tes, node.store, node.clock, node.wall)
     service = Service(
-        settings, tes, node.owner, node.store, node.front.jobs, ledger, node.clock, node.wall
+        settings, tes, node.owner, node.store, node.user_api.jobs, ledger, node.clock, node.wall
     )
     try:
         access = Access(home / tes.tokens if tes.tokens else None, node.clock)
@@ -65,8 +65,8 @@
     )  # fmt: skip
     node.owner.around.finals = ledger.finals
     machines = Machines(service)
-    node.front.extra[runner.TASK] = machines.task
-    node.front.extra[runner.TOLD] = machines.told
+    node.user_api.extra_handlers[runner.TASK] = machines.task
+    node.user_api.extra_handlers[runner.TOLD] = machines.told
     for loop in (ledger.run, listener.run, access.follow, collector.run):
         node.loops.append(functools.partial(_kept_up, loop))
     return listener
--- a/tests/tes_nodes.py
+++ b/tests/tes_nodes.py
@@ -14,7 +14,7 @@
 from coveflow import settings as s
 from coveflow.daemon import commands as cm
 from coveflow.daemon import owner as o
-from coveflow.daemon.front import Front
+from coveflow.daemon.user_api import UserApi
 from coveflow.lab.store import Failed
 from coveflow.lab.store import Store as Model
 from coveflow.membership.peers import Peers
@@ -99,7 +99,7 @@
         self.owner = o.Owner(settings, s.Tuning(), clock, clock)
         self.owner.inbox.flavors["m8"] = flavor()
         peers = Peers(settings, None, clock, dict, None)
-        self.front = Front(settings, self.owner, self.store, peers, clock, clock, None)
+        self.front = UserApi(settings, self.owner, self.store, peers, clock, clock, None)
         self.ledger = Ledger(settings, self.tes, self.store, clock, clock)
         self.service = Service(
             settings, self.tes, self.owner, self.store, self.front.jobs, self.ledger, clock, clock
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -9,7 +9,7 @@
 from coveflow import constants as c
 from coveflow.core import admission
 from coveflow.net.http import TokenBucket
-from tests.test_front import front
+from tests.test_front import make_front
 
 FLOWS = st.tuples(st.sampled_from("abcd"), st.sampled_from(["x", "y", "z"]))
 
@@ -58,7 +58,7 @@
 
 def test_excess_submissions_are_refused_with_retry_after():
     """Users retry after 5 s without an answer; one team's flood must not shut out another team."""
-    f = front()
+    f = make_front()
     f.store.changes = TokenBucket(4.0, lambda: 0.0)
     refused: list[int] = []
 
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -21,8 +21,8 @@
 from coveflow.daemon import restore
 from coveflow.daemon.book import Book
 from coveflow.daemon.inbox import Inbox
-from coveflow.daemon.intake import Intake
 from coveflow.daemon.node import Node
+from coveflow.daemon.report_intake import ReportIntake
 from coveflow.membership import peers, report_batches
 from coveflow.net.cloud import CloudClient
 from coveflow.net.http import Unavailable, UnknownOutcome
@@ -419,7 +419,7 @@
     there = SimpleNamespace(owner=SimpleNamespace(leading=1), may_renew=lambda: True)
     for body in (b"", {}, {"boot": "x", "reports": 7}, {"boot": "x", "reports": [], "seen": 7}):
         raw = body if isinstance(body, bytes) else cbor2.dumps(body)
-        assert asyncio.run(Intake.batch(there, "", raw)) == (400, b"")
+        assert asyncio.run(ReportIntake.answer_batch(there, "", raw)) == (400, b"")
 
 
 # --- each guard's planted bug -------------------------------------------------------------
--- a/tests/test_feasibility.py
+++ b/tests/test_feasibility.py
@@ -33,7 +33,7 @@
 from coveflow.settings import Team, Tuning
 from coveflow.state import keys as sk
 from tests.samples import flavor, spec
-from tests.test_front import Keys, front, know
+from tests.test_front import FakeStore, make_front, store_job
 from tests.test_wire import GOOD, JUNK
 from tests.whole import ZONES
 
@@ -257,7 +257,7 @@
 # --- responses to users -----------------------------------------------------------------
 
 
-class Writing(Keys):
+class Writing(FakeStore):
     """A store that also accepts submissions."""
 
     def __init__(self) -> None:
@@ -271,7 +271,7 @@
 
 
 def node(types: list[Flavor] = TYPES):
-    frontend = front(Writing())
+    frontend = make_front(Writing())
     frontend.teams = {"vision": TEAM}
     frontend.owner.inbox.flavors.update({kind.name: kind for kind in types})
     return frontend
@@ -325,7 +325,7 @@
 def test_a_known_id_is_looked_up_before_a_job_is_rejected(wrong):
     """An older build may have accepted it, or another node of which this one has not heard yet."""
     frontend = node()
-    know(frontend, "j-000412", told=False)
+    store_job(frontend, "j-000412", current=False)
     assert submit(frontend, body(**wrong)) == 200
     frontend.store.keys = {sk.FINAL_RECORD + "j-000412": ({"status": "done", "done": 4}, 9)}
     frontend.owner.inbox.accepted.clear()
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -1,4 +1,4 @@
-"""What users are told, with a store that counts its requests."""
+"""User-facing answers, with a fake store that counts its requests."""
 
 import asyncio
 import gc
@@ -11,7 +11,7 @@
 from coveflow.daemon import commands as cm
 from coveflow.daemon import comparisons
 from coveflow.daemon import owner as o
-from coveflow.daemon.front import Front
+from coveflow.daemon.user_api import UserApi
 from coveflow.membership.peers import Peers
 from coveflow.net.http import Unavailable
 from coveflow.state import keys as sk
@@ -20,8 +20,8 @@
 from tests.world import node_settings
 
 
-class Keys:
-    """A state service held in a dictionary."""
+class FakeStore:
+    """A fake state service backed by a dictionary."""
 
     def __init__(self) -> None:
         self.keys: dict[str, tuple[dict, int]] = {}
@@ -47,25 +47,25 @@
         assert not writes and len(guards) <= 48
         failed = [k for k, rev in guards.items() if self.keys.get(k, (None, 0))[1] != rev]
         if failed:
-            raise Conflict(failed[:1])  # it need not name them all
+            raise Conflict(failed[:1])  # a conflict need not name all keys
         return 9
 
 
-def front(store: Keys | None = None) -> Front:
+def make_front(store: FakeStore | None = None) -> UserApi:
     settings = node_settings("a", [{"name": "blue"}])
     owner = o.Owner(settings, o.Tuning(), lambda: 0.0, lambda: 0.0)
     peers = Peers(settings, None, lambda: 0.0, dict, None)
-    return Front(settings, owner, store or Keys(), peers, lambda: 0.0, lambda: 0.0, None)
+    return UserApi(settings, owner, store or FakeStore(), peers, lambda: 0.0, lambda: 0.0, None)
 
 
-def know(f: Front, name: str, told: bool = True, cancel: float | None = None) -> None:
-    """The store holds the job; this node may have been told of an older state."""
+def store_job(f: UserApi, name: str, current: bool = True, cancel: float | None = None) -> None:
+    """Store a job; with `current` False, this node knows only an older revision of it."""
     record = {"spec": msgspec.to_builtins(spec(name)), "at": 0.0, "cancel": cancel}
     f.store.keys[sk.JOB + name] = (record, 5)
-    f.owner.work([cm.InboxRows([(sk.JOB + name, {**record, "cancel": None}, 5 if told else 4)])])
+    f.owner.work([cm.InboxRows([(sk.JOB + name, {**record, "cancel": None}, 5 if current else 4)])])
 
 
-def polls(f: Front, names: list[str]) -> list[str]:
+def poll_jobs(f: UserApi, names: list[str]) -> list[str]:
     async def ask(name: str) -> str:
         try:
             found = await f.poll(name)
@@ -73,57 +73,57 @@
             return "503"
         return cbor2.loads(found.body)["status"] if found.status == 200 else str(found.status)
 
-    async def all_of_them() -> list[str]:
+    async def poll_all() -> list[str]:
         return await asyncio.gather(*(ask(name) for name in names))
 
-    return asyncio.run(all_of_them())
+    return asyncio.run(poll_all())
 
 
 @pytest.fixture(autouse=True)
-def quick(monkeypatch):
+def no_poll_delay(monkeypatch):
     monkeypatch.setattr(c, "POLL_PACE_S", 0.0)
 
 
 def test_a_flood_of_polls_for_unknown_jobs_costs_few_requests():
-    f = front()
-    assert polls(f, [f"j-{i:06d}" for i in range(600)]) == ["404"] * 600
+    f = make_front()
+    assert poll_jobs(f, [f"j-{i:06d}" for i in range(600)]) == ["404"] * 600
     assert f.store.requests < 600 / 4
 
 
-def test_more_polls_than_can_wait_are_told_to_come_back_at_once(monkeypatch):
+def test_polls_beyond_the_queue_limit_get_503_at_once(monkeypatch):
     monkeypatch.setattr(c, "POLL_QUEUE", 10)
-    told = polls(front(), [f"j-{i:06d}" for i in range(30)])
-    assert told.count("404") == 10 and told.count("503") == 20
+    answers = poll_jobs(make_front(), [f"j-{i:06d}" for i in range(30)])
+    assert answers.count("404") == 10 and answers.count("503") == 20
 
 
-def test_polls_tell_the_stores_word_where_this_node_lags():
-    f = front()
-    know(f, "j-1")
-    know(f, "j-2", told=False, cancel=3.0)  # cancelled through another node
+def test_polls_return_the_stored_state_where_this_node_lags():
+    f = make_front()
+    store_job(f, "j-1")
+    store_job(f, "j-2", current=False, cancel=3.0)  # cancelled through another node
     f.store.keys[sk.FINAL_RECORD + "j-3"] = ({"status": "done", "done": 4}, 7)
-    assert polls(f, ["j-1", "j-2", "j-3", "j-4"]) == ["queued", "cancelled", "done", "404"]
+    assert poll_jobs(f, ["j-1", "j-2", "j-3", "j-4"]) == ["queued", "cancelled", "done", "404"]
     f.store.down = True
-    assert polls(f, ["j-1", "j-3", "j-4"]) == ["503", "done", "503"]
+    assert poll_jobs(f, ["j-1", "j-3", "j-4"]) == ["503", "done", "503"]
 
 
-def test_an_answer_tells_what_was_compared_not_what_is_known_by_then():
-    """A job that ended between the check and the answer must not be told as unknown."""
-    f = front()
-    know(f, "j-1")
-    honest = f.store.commit
+def test_an_answer_reflects_the_compared_state_not_a_later_one():
+    """A job that ends between the comparison and the answer must not get 404."""
+    f = make_front()
+    store_job(f, "j-1")
+    original = f.store.commit
 
     async def commit(guards, writes):
-        rev = await honest(guards, writes)
+        rev = await original(guards, writes)
         del f.owner.inbox.accepted["j-1"]
         return rev
 
     f.store.commit = commit
-    assert polls(f, ["j-1"]) == ["queued"]
+    assert poll_jobs(f, ["j-1"]) == ["queued"]
 
 
 def test_another_interfaces_job_is_neither_shown_nor_cancelled_here():
     async def go():
-        f = front()
+        f = make_front()
         record = {"spec": msgspec.to_builtins(spec("j-7")), "at": 0.0, "rider": {"team": "blue"}}
         f.store.keys[sk.JOB + "j-7"] = (record, 5)
         assert await f.jobs.status("j-7") is None
@@ -135,35 +135,35 @@
     asyncio.run(go())
 
 
-def test_a_record_that_cannot_be_read_is_known_and_hides_no_other_job():
-    """It ended each leader's lead as it began, and was a 500 to its user."""
-    f = front()
-    know(f, "j-1")
+def test_an_unreadable_record_counts_as_accepted_and_hides_no_other_job():
+    """Such a record made every new leader fail at once, and its user's polls got 500."""
+    f = make_front()
+    store_job(f, "j-1")
     f.store.keys[sk.JOB + "j-2"] = ({"spec": {"id": 7}}, 6)
     f.owner.inbox.view = sk.View(1, "a", ["a"], 1)
     f.owner.book.leading = 1
     bad = (sk.JOB + "j-2", {"spec": {"id": 7}}, 6)
-    know(f, "j-3")
+    store_job(f, "j-3")
     f.owner.work([cm.InboxRows([bad, (sk.JOB + "j-4", f.store.keys[sk.JOB + "j-1"][0], 7)])])
     assert f.owner.leading == 1 and set(f.owner.inbox.accepted) >= {"j-1", "j-4"}
-    assert polls(f, ["j-1", "j-2", "j-3"]) == ["queued"] * 3
+    assert poll_jobs(f, ["j-1", "j-2", "j-3"]) == ["queued"] * 3
 
 
-def test_a_comparison_that_fails_for_polls_that_are_gone_is_told_to_nobody():
-    """Each such poll left asyncio an exception that nobody retrieved: 40 lines in the log."""
+def test_a_failed_comparison_of_finished_polls_logs_nothing():
+    """Each such poll left an exception that was never retrieved: asyncio logs 40 lines for it."""
 
     async def play() -> list[dict]:
-        told: list[dict] = []
+        logged: list[dict] = []
         loop = asyncio.get_running_loop()
-        loop.set_exception_handler(lambda _, context: told.append(context))
+        loop.set_exception_handler(lambda _, context: logged.append(context))
         first, second = loop.create_future(), loop.create_future()
-        comparisons._follow(first, second)
+        comparisons._copy_outcome(first, second)
         first.set_exception(Unavailable("down"))
         first.exception()
         await asyncio.sleep(0)
         del first, second
         gc.collect()
         await asyncio.sleep(0)
-        return told
+        return logged
 
     assert asyncio.run(play()) == []
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -59,8 +59,8 @@
 
 def crash_with_frozen_successor(world, leader):
     world.crash(leader, 8.0)
-    order = world.node(leader).order()
-    world.freeze(next(name for name in order if name != leader), 8.0)
+    succession_order = world.node(leader).succession_order()
+    world.freeze(next(name for name in succession_order if name != leader), 8.0)
 
 
 # Fault, longest time without a start (s), and whether another node should lead at the end of it
@@ -166,10 +166,10 @@
 
 def test_reports_are_spread_over_the_nodes_of_their_zones(play):
     world, _ = play(machines=40, jobs_until=20.0)
-    took = {name: world.node(name).agents.workers() for name in ZONES}
+    took = {name: world.node(name).report_handler.workers() for name in ZONES}
     assert sum(took.values()) == 80 and min(took.values()) >= 4
     # All workers of a crashed node move to the next node at once, which redirects some of them.
     world.crash("host-3", 30.0)
     world.run(FAULT_S + 8.0)
-    assert world.node("host-4").agents.workers() >= 40
+    assert world.node("host-4").report_handler.workers() >= 40
     assert lost(world) == 0
--- a/tests/test_nights.py
+++ b/tests/test_nights.py
@@ -4,7 +4,7 @@
 
 from coveflow.core import redirects
 from coveflow.core.answer_receipt import AnswerReceipt
-from coveflow.daemon.direct import Direct
+from coveflow.daemon.direct_requests import DirectRequests
 from coveflow.daemon.keeper import Keeper
 from coveflow.daemon.user_jobs import UserJobs
 from coveflow.lab import worlds
@@ -64,7 +64,7 @@
     monkeypatch.setattr(redirects, "untried_zone_node", lambda machine, contact, mates, now: "")
     # Machines that are asked directly do not go back meanwhile; what they end is told later still.
     assert night(sever, run_s=3.0).whole_s > told.whole_s + 5.0
-    monkeypatch.setattr(Direct, "tick", lambda self, now: None)
+    monkeypatch.setattr(DirectRequests, "tick", lambda self, now: None)
     assert night(sever, run_s=3.0).lost > 0
 
 
--- a/tests/test_reports_meetings.py
+++ b/tests/test_reports_meetings.py
@@ -11,7 +11,7 @@
 from coveflow.core.cancellations import Cancellations
 from coveflow.core.model import Order, Spec
 from coveflow.daemon.book import Book
-from coveflow.daemon.direct import Direct
+from coveflow.daemon.direct_requests import DirectRequests
 from coveflow.daemon.keeper import Keeper
 from coveflow.daemon.owner import Owner
 from coveflow.daemon.reports import Reports
@@ -370,16 +370,16 @@
 
 
 def planted_no_direct_requests(monkeypatch) -> None:
-    monkeypatch.setattr(Direct, "tick", lambda self, now: None)
+    monkeypatch.setattr(DirectRequests, "tick", lambda self, now: None)
 
 
 def planted_no_sign_of_life(monkeypatch) -> None:
-    monkeypatch.setattr(Direct, "_doubtful", lambda self, m, quiet_s, now: False)
+    monkeypatch.setattr(DirectRequests, "_needs_inspection", lambda self, m, quiet_s, now: False)
 
 
 def planted_stops_of_everything(monkeypatch) -> None:
     monkeypatch.setattr(
-        Direct, "_stops", lambda self, m: [Order("stop", *key) for key in m.placements]
+        DirectRequests, "_stops", lambda self, m: [Order("stop", *key) for key in m.placements]
     )
 
 
--- a/tests/test_shedding.py
+++ b/tests/test_shedding.py
@@ -85,14 +85,14 @@
 
 def late(world: World, monkeypatch, compute_s: dict[str, float]) -> None:
     """Timers of the leader fire late for 10 s; processors are as slow as told."""
-    monkeypatch.setattr(Node, "_time_computing", lambda node: None)
+    monkeypatch.setattr(Node, "_measure_compute_time", lambda node: None)
     for name, seconds in compute_s.items():
         for _ in range(c.COMPUTE_TRIES):
             world.node(name).compute_pace.add_sample(seconds)
     leader = world.node(world.leader())
     for step in range(100):
         at = world.now + 1.0 + 0.1 * step
-        world.at(at, lambda: setattr(leader, "pace_s", 2.0))
+        world.at(at, lambda: setattr(leader, "timer_lateness_s", 2.0))
     world.run(world.now + 12.0)
 
 
--- a/tests/test_users_meetings.py
+++ b/tests/test_user_consistency.py
@@ -1,7 +1,7 @@
-"""What users are told where their requests meet each other, a job's end, or a trouble.
+"""Consistency of users' answers under concurrent requests, job ends and faults.
 
-Whole nodes in virtual time. Answers are compared by when each was sent and received
-(`lab.answers`), and judged by the protocol's rules as everywhere.
+Runs whole nodes in virtual time. Answers are compared by the times at which each request was sent
+and answered (`lab.answers`), and checked against the protocol's rules as in all virtual runs.
 """
 
 import asyncio
@@ -19,7 +19,7 @@
 from coveflow.daemon import commands as cm
 from coveflow.daemon.commits import Commits
 from coveflow.daemon.comparisons import Comparison, Comparisons
-from coveflow.daemon.front import Front
+from coveflow.daemon.user_api import UserApi
 from coveflow.daemon.user_jobs import UserJobs
 from coveflow.lab import answers
 from coveflow.lab import site as sites
@@ -30,12 +30,12 @@
 from coveflow.state import keys as sk
 from coveflow.state.store import Conflict, Store
 from tests.samples import spec
-from tests.test_front import front, know, polls
-from tests.test_meetings import planted_store_alone
+from tests.test_concurrent_faults import planted_store_alone
+from tests.test_front import make_front, poll_jobs, store_job
 from tests.whole import SIDES
 
 NODES = {"host-0": "north", "host-1": "south", "host-2": "south"}
-BEGIN_S = 4.0  # s into the world by which it is led and its machines are heard
+BEGIN_S = 4.0  # s into the run by which there is a leader and the machines are heard
 SHAPES = {
     "array": {"tasks": 2},
     "gang": {"tasks": 2, "kind": "gang"},
@@ -43,17 +43,16 @@
 }
 
 
-# --- transactions and watches that meet trouble ---------------------------------------------
+# --- faults of transactions and watches -----------------------------------------------------
 
 
 @dataclass
-class Rule:
-    """What becomes of the transactions that write what `of` looks for, for some time from the
-    first one on."""
+class FaultRule:
+    """A fault for the transactions that `of` selects, for `for_s` from the first one on."""
 
     of: Callable[[dict[str, bool]], bool]  # keys, and whether they are written or removed
-    # "lost" (carried out, no answer), "late" or "never" (no answer), "held" (carried out late), or
-    # "slow" (answered late).
+    # "lost" (applied, no answer), "late" (applied late, no answer), "never" (neither), "held"
+    # (applied late), or "slow" (answered late).
     fate: str
     by_s: float = 0.0
     for_s: float = math.inf
@@ -61,15 +60,15 @@
     met: int = 0
 
 
-class Wire:
-    """Between the controllers and the state service."""
+class FaultyStoreLink:
+    """Injects faults between the controllers and the state service."""
 
     def __init__(self, world: World) -> None:
         self.world, self.rules = world, []
-        self.lags: dict[str, float] = {}  # s by which a node's watch is behind
-        self.serve, world.state.serve = world.state.serve, self.passed
+        self.lags: dict[str, float] = {}  # delay of each node's watch, in s
+        self.serve, world.state.serve = world.state.serve, self.serve_with_faults
 
-    async def passed(self, who: str, request: Request):
+    async def serve_with_faults(self, who: str, request: Request):
         if request.path == wire.CHANGES:
             answer = await self.serve(who, request)
             await asyncio.sleep(self.lags.get(who, 0.0))
@@ -84,7 +83,7 @@
             await asyncio.sleep(rule.by_s if rule.fate == "slow" else math.inf)
         return answer
 
-    def _rule(self, request: Request) -> Rule | None:
+    def _rule(self, request: Request) -> FaultRule | None:
         rows = wire.unpack(request.body)["writes"]
         keys = {row.get("write") or row["remove"]: "write" in row for row in rows}
         for rule in self.rules:
@@ -100,7 +99,7 @@
 
 
 def first_final_record(keys: dict[str, bool]) -> bool:
-    """Of jobs that nobody cancels: with all others in it, it would often be a cancelled one's."""
+    """Final records of the first jobs, which nobody cancels; later jobs are often cancelled."""
     return any(f"{sk.FINAL_RECORD}j-{i:06d}" in keys for i in range(3))
 
 
@@ -108,7 +107,7 @@
     return all(key.startswith(sk.JOB) and written for key, written in keys.items())
 
 
-# --- a world ----------------------------------------------------------------------------------
+# --- setup ------------------------------------------------------------------------------------
 
 
 @pytest.fixture
@@ -120,7 +119,7 @@
     ) -> World:
         text = site(SIDES, len(nodes), machines, run_s)
         world = World(sites.parse(text, "test"), nodes, seed, Tuning(homes=True))
-        world.wire = Wire(world)
+        world.store_link = FaultyStoreLink(world)
         worlds.append(world)
         world.run(BEGIN_S)
         assert world.leader()
@@ -141,8 +140,8 @@
     return {key[len(sk.FINAL_RECORD) :]: row.value["status"] for key, row in rows}
 
 
-def judged(world: World) -> dict[str, str]:
-    """No answer is older than another, and none differs from what the store keeps."""
+def check_answers(world: World) -> dict[str, str]:
+    """Check that no answer is older than an earlier one or contradicts the stored final state."""
     assert not [str(it) for it in answers.older(world.replies)]
     assert not answers.contradictions(world.replies)
     states = final_states(world)
@@ -152,20 +151,20 @@
     return states
 
 
-# --- users ask at all nodes within milliseconds -----------------------------------------------
+# --- requests at all nodes within milliseconds ------------------------------------------------
 
 
-def nothing(world: World) -> None:
+def no_fault(world: World) -> None:
     pass
 
 
 def watches_lag_1(world: World) -> None:
-    world.wire.lags = dict.fromkeys(world.controllers, 1.0)
+    world.store_link.lags = dict.fromkeys(world.controllers, 1.0)
 
 
 def watches_lag_5(world: World) -> None:
-    """Longer than a node waits for one: it has to read what it may not hear."""
-    world.wire.lags = dict.fromkeys(world.controllers, 5.0)
+    """Longer than a node waits for a watch, so that it has to read instead."""
+    world.store_link.lags = dict.fromkeys(world.controllers, 5.0)
 
 
 def node_cut_from_store(world: World) -> None:
@@ -177,47 +176,48 @@
     world.state.refused[world.leader()] = world.now + 2.5
 
 
-def teller_ends(world: World) -> None:
-    """Whichever node first tells that a job is accepted, done or cancelled ends with that."""
+def reporting_node_crashes(world: World) -> None:
+    """Crash each node that is the first to report a job as accepted, done or cancelled."""
     seen: set[tuple[str, str]] = set()
     world.crashes = 0
-    honest = world._answered
+    original = world._answered
 
     def answered(to: str, name: str, code: int, state: str | None, *rest) -> None:
-        honest(to, name, code, state, *rest)
+        original(to, name, code, state, *rest)
         if state is None or (name, state) in seen or int(name[2:]) % 3:
             return
         seen.add((name, state))
-        teller = world.replies[-1].node
-        if world.places[teller].alive and world.crashes < 8:
+        reporter = world.replies[-1].node
+        if world.places[reporter].alive and world.crashes < 8:
             world.crashes += 1
-            world.at(world.now, lambda: world.crash(teller, 0.2))
+            world.at(world.now, lambda: world.crash(reporter, 0.2))
 
     world._answered = answered
 
 
 def unsure(of: Callable[[dict[str, bool]], bool], fate: str) -> Callable[[World], None]:
     def arranged(world: World) -> None:
-        # Longer than a node waits for one answer, so that each copy is unsure.
-        world.wire.rules = [Rule(of, fate, 2.2, 4.0)]
+        # Longer than a node waits for an answer, so that the outcome of each attempt is unknown.
+        world.store_link.rules = [FaultRule(of, fate, 2.2, 4.0)]
 
     arranged.__name__ = f"{of.__name__}_{fate}"
     return arranged
 
 
-TROUBLES = [
-    nothing, watches_lag_1, watches_lag_5, node_cut_from_store, leader_refused, teller_ends,
+FAULTS = [
+    no_fault, watches_lag_1, watches_lag_5, node_cut_from_store, leader_refused,
+    reporting_node_crashes,
     *(unsure(of, fate) for of in (first_final_record, final_record, submission_or_cancellation)
       for fate in ("lost", "late", "never")),
 ]  # fmt: skip
 
 
-def asked_at_all_nodes(world: World, trouble: Callable[[World], None], jobs: int = 18) -> None:
+def request_at_all_nodes(world: World, fault: Callable[[World], None], jobs: int = 18) -> None:
     world.close_looks(60.0)
-    # The first ones are left to end.
+    # The first jobs are left to finish.
     world.at(BEGIN_S + 0.8, lambda: world.close_looks(60.0, cancels=0.3))
     world.at(BEGIN_S + 2.0, lambda: world.cancel_at_end(0.3, 60.0))
-    trouble(world)
+    fault(world)
     shapes = list(SHAPES)
     for i in range(jobs):
         world.at(
@@ -227,33 +227,33 @@
     world.run(BEGIN_S + 0.3 * jobs + 12.0)
 
 
-@pytest.mark.parametrize("trouble", TROUBLES, ids=lambda it: it.__name__)
-def test_no_answer_is_older_than_one_received_before(begin, trouble):
+@pytest.mark.parametrize("fault", FAULTS, ids=lambda it: it.__name__)
+def test_no_answer_is_older_than_one_received_before(begin, fault):
     world = begin()
-    asked_at_all_nodes(world, trouble)
-    states = judged(world)
+    request_at_all_nodes(world, fault)
+    states = check_answers(world)
     assert len(states) == 18 and set(states.values()) == {"done", "cancelled"}
-    for rule in world.wire.rules:
+    for rule in world.store_link.rules:
         assert rule.met
-    told = [answer for answer in world.replies if answer.code in (200, 201)]
-    assert len(told) > 300
+    accepted = [answer for answer in world.replies if answer.code in (200, 201)]
+    assert len(accepted) > 300
 
 
 def test_bursts_reach_each_node_within_milliseconds_of_each_event(begin):
-    """The meeting does come about: all nodes, right after accepted, done and cancelled."""
+    """The scenario does occur: polls at all nodes right after accepted, done and cancelled."""
     world = begin()
-    asked_at_all_nodes(world, teller_ends)
+    request_at_all_nodes(world, reporting_node_crashes)
     for state in ("queued", "done", "cancelled"):
-        told = [a for a in world.replies if a.state == state]
-        assert {a.node for a in told} == set(world.controllers)
-        first = {a.job: a.received for a in reversed(sorted(told, key=lambda a: a.received))}
+        answered = [a for a in world.replies if a.state == state]
+        assert {a.node for a in answered} == set(world.controllers)
+        first = {a.job: a.received for a in reversed(sorted(answered, key=lambda a: a.received))}
         close = [a for a in world.replies if 0 <= a.sent - first.get(a.job, math.inf) < 0.01]
         assert len(close) > 20, state
     assert world.crashes >= 6
 
 
 def planted_answers_from_memory(monkeypatch) -> None:
-    """Polls told what the watch had brought so far."""
+    """Polls answered from the watch alone."""
 
     async def known(self, job: str) -> Comparison:
         return Comparison(True, self.inbox.accepted.get(job))
@@ -261,11 +261,11 @@
     monkeypatch.setattr(Comparisons, "compare", known)
 
 
-def planted_final_state_told_before_it_is_written(monkeypatch) -> None:
-    honest = Commits._add_finished
+def planted_final_state_reported_before_commit(monkeypatch) -> None:
+    original = Commits._add_finished
 
     def add(self, txn, *rest) -> None:
-        honest(self, txn, *rest)
+        original(self, txn, *rest)
         for finished in txn.finished:
             record = txn.writes[sk.FINAL_RECORD + finished.id]
             self.inbox.remember_terminal(finished.id, record)
@@ -273,16 +273,18 @@
     monkeypatch.setattr(Commits, "_add_finished", add)
 
 
-def planted_submission_told_before_it_is_written(monkeypatch) -> None:
+def planted_submission_reported_before_commit(monkeypatch) -> None:
     async def accept(self, name, record, flow=("", "")) -> bool:
-        asyncio.get_running_loop().create_task(quietly(honest(self, name, record, flow)))
+        asyncio.get_running_loop().create_task(
+            ignore_unavailable(original(self, name, record, flow))
+        )
         return True
 
-    honest = UserJobs.accept
+    original = UserJobs.accept
     monkeypatch.setattr(UserJobs, "accept", accept)
 
 
-async def quietly(work) -> None:
+async def ignore_unavailable(work) -> None:
     with contextlib.suppress(Unavailable):
         await work
 
@@ -290,33 +292,33 @@
 PLANTED = [
     (planted_answers_from_memory, watches_lag_1),
     (planted_answers_from_memory, node_cut_from_store),
-    (planted_final_state_told_before_it_is_written, unsure(first_final_record, "never")),
-    (planted_final_state_told_before_it_is_written, unsure(first_final_record, "late")),
-    (planted_submission_told_before_it_is_written, unsure(submission_or_cancellation, "never")),
-    (planted_submission_told_before_it_is_written, teller_ends),
+    (planted_final_state_reported_before_commit, unsure(first_final_record, "never")),
+    (planted_final_state_reported_before_commit, unsure(first_final_record, "late")),
+    (planted_submission_reported_before_commit, unsure(submission_or_cancellation, "never")),
+    (planted_submission_reported_before_commit, reporting_node_crashes),
 ]
 
 
-@pytest.mark.parametrize("plant, trouble", PLANTED, ids=lambda it: it.__name__)
-def test_older_answers_are_noticed(begin, monkeypatch, plant, trouble):
+@pytest.mark.parametrize("plant, fault", PLANTED, ids=lambda it: it.__name__)
+def test_older_answers_are_detected(begin, monkeypatch, plant, fault):
     plant(monkeypatch)
     world = begin()
     with pytest.raises(AssertionError, match=r"forgotten|went_back|then"):
-        asked_at_all_nodes(world, trouble)
-        judged(world)
+        request_at_all_nodes(world, fault)
+        check_answers(world)
 
 
-# --- a request meets the end of a job's last task ---------------------------------------------
+# --- requests concurrent with the end of a job's last task ------------------------------------
 
 
-STEP_S = 0.06  # s between the moments at which requests meet the ends
+STEP_S = 0.06  # step of the offset between a job's end and the requests, in s
 JOBS = 12
-# Which transaction is held up, if any, and what then becomes of each job.
+# Which transaction is delayed, if any, and the resulting state of each job.
 ORDERS = {"by chance": "", "cancellation first": "cancelled", "final record first": "done"}
 
 
-def meets_the_end(world: World, shape: str, order: str) -> None:
-    """A cancellation, questions and repeated submissions at each moment after a job's last task."""
+def request_around_job_end(world: World, shape: str, order: str) -> None:
+    """Cancellations, polls and repeated submissions at varying offsets from a job's last task."""
 
     def ended(name: str) -> None:
         held = {
@@ -324,7 +326,7 @@
             "final record first": lambda keys: keys == {sk.JOB + name: True},
         }
         if order in held:
-            world.wire.rules.append(Rule(held[order], "held", 1.2, 1.2))
+            world.store_link.rules.append(FaultRule(held[order], "held", 1.2, 1.2))
         number = int(name[2:])
         at, node = world.now + STEP_S * number, f"host-{number % 3}"
         world.at(at, lambda: world.cancel(name, node))
@@ -339,33 +341,33 @@
 
 @pytest.mark.parametrize("order", ORDERS)
 @pytest.mark.parametrize("shape", SHAPES)
-def test_what_was_told_as_a_job_ended_stays(begin, shape, order):
+def test_answers_around_a_job_end_stay_consistent(begin, shape, order):
     world = begin()
-    meets_the_end(world, shape, order)
-    states = judged(world)
+    request_around_job_end(world, shape, order)
+    states = check_answers(world)
     assert len(states) == JOBS
     assert set(states.values()) == ({ORDERS[order]} if ORDERS[order] else {"done", "cancelled"})
-    # Ends at about the same time share a transaction, and so a rule.
-    assert order == "by chance" or sum(rule.met > 0 for rule in world.wire.rules) >= JOBS // 3
+    # Ends at about the same time share a transaction, and thus a rule.
+    assert order == "by chance" or sum(rule.met > 0 for rule in world.store_link.rules) >= JOBS // 3
 
 
 def planted_final_record_without_its_guard(monkeypatch) -> None:
-    """It says done whatever was committed of a cancellation meanwhile."""
-    honest = Store._send
+    """It records the job as done even if a cancellation was committed meanwhile."""
+    original = Store._send
 
     async def send(self, guards, writes, grant=None) -> int:
         if final_record(writes):
             guards = {key: rev for key, rev in guards.items() if not key.startswith(sk.JOB)}
-        return await honest(self, guards, writes, grant)
+        return await original(self, guards, writes, grant)
 
     monkeypatch.setattr(Store, "_send", send)
 
 
-def planted_cancellation_of_what_is_over(monkeypatch) -> None:
-    honest = UserJobs.cancel
+def planted_cancellation_of_finished_jobs(monkeypatch) -> None:
+    original = UserJobs.cancel
 
     async def cancel(self, name: str, native: bool = False) -> bool:
-        await honest(self, name, native)
+        await original(self, name, native)
         return True
 
     monkeypatch.setattr(UserJobs, "cancel", cancel)
@@ -375,20 +377,20 @@
     "plant, order",
     [
         (planted_final_record_without_its_guard, "cancellation first"),
-        (planted_cancellation_of_what_is_over, "final record first"),
+        (planted_cancellation_of_finished_jobs, "final record first"),
     ],
 )
-def test_an_end_that_is_told_otherwise_is_noticed(begin, monkeypatch, plant, order):
+def test_inconsistent_final_states_are_detected(begin, monkeypatch, plant, order):
     plant(monkeypatch)
     world = begin()
     with pytest.raises(AssertionError, match=r"went_back|then"):
-        meets_the_end(world, "array", order)
-        judged(world)
+        request_around_job_end(world, "array", order)
+        check_answers(world)
 
 
-# --- a leader that users reach and nobody else does -------------------------------------------
+# --- a partitioned leader that users still reach ----------------------------------------------
 
-CUT_S = 22.0  # s; longer than the 15 s of a lease
+CUT_S = 22.0  # s; longer than a lease of 15 s
 
 
 def zone_cut_off(world: World, leader: str) -> None:
@@ -401,9 +403,9 @@
 
 
 def users_on_both_sides(world: World, cut: Callable[[World, str], None]) -> None:
-    """Half of the jobs are cancelled through the new leader; users in the zone ask its node.
+    """Cancel half of the jobs through the new leader while users in the zone poll the old one.
 
-    One more is cancelled there, once: what became of that the cut-off node cannot tell.
+    One more is cancelled once at the partitioned node, which cannot tell the outcome.
     """
     leader = world.leader()
     others = [name for name in world.controllers if name != leader]
@@ -426,11 +428,11 @@
 
 
 @pytest.mark.parametrize("cut", [zone_cut_off, leader_cut_off])
-def test_a_leader_cut_off_tells_its_users_nothing_old(begin, cut):
+def test_a_partitioned_leader_returns_no_stale_state(begin, cut):
     world = begin(run_s=14.0)
     first = world.leader()
     users_on_both_sides(world, cut)
-    states = judged(world)
+    states = check_answers(world)
     assert world.leader() != first
     assert [states[f"j-{i:06d}"] for i in range(1, 8)] == ["cancelled", "done"] * 3 + ["cancelled"]
     assert states["j-000000"] in answers.FINAL
@@ -439,20 +441,20 @@
 
 
 @pytest.mark.parametrize("cut", [zone_cut_off, leader_cut_off])
-def test_a_leader_that_answers_while_cut_off_is_noticed(begin, monkeypatch, cut):
+def test_stale_answers_of_a_partitioned_leader_are_detected(begin, monkeypatch, cut):
     planted_answers_from_memory(monkeypatch)
     world = begin(run_s=6.0)
     with pytest.raises(AssertionError, match=r"forgotten|went_back|then"):
         users_on_both_sides(world, cut)
-        judged(world)
+        check_answers(world)
 
 
-# --- requests that make no sense --------------------------------------------------------------
+# --- invalid requests -------------------------------------------------------------------------
 
 EXPECTED = {"lacks a field": 400, "fits nothing": 422, "unknown": 404}
 
 
-def odd_requests(world: World) -> dict[str, int]:
+def send_invalid_requests(world: World) -> dict[str, int]:
     world.odd_requests(12.0)
     world.cancel_at_end(0.5, 12.0)
     world.close_looks(12.0)
@@ -460,12 +462,12 @@
         at, shape = BEGIN_S + 0.8 * i, list(SHAPES)[i % 3]
         world.at(at, lambda i=i, shape=shape: world.submit(job(i, shape), f"host-{i % 3}"))
     world.run(BEGIN_S + 20.0)
-    return judged(world)
+    return check_answers(world)
 
 
-def test_odd_requests_are_refused_and_change_nothing(begin):
+def test_invalid_requests_are_rejected_and_change_nothing(begin):
     world = begin()
-    states = odd_requests(world)
+    states = send_invalid_requests(world)
     assert len(states) == 10 and "done" in states.values()
     assert {(what, code) for what, code in world.odd_answers} == set(EXPECTED.items())
     done = [name for name, state in states.items() if state == "done"]
@@ -474,26 +476,26 @@
 
 
 def planted_no_refusal(monkeypatch) -> None:
-    monkeypatch.setattr(Front, "refusal", lambda self, spec: "")
+    monkeypatch.setattr(UserApi, "refusal", lambda self, spec: "")
 
 
-@pytest.mark.parametrize("plant", [planted_no_refusal, planted_cancellation_of_what_is_over])
-def test_odd_requests_that_are_served_are_noticed(begin, monkeypatch, plant):
+@pytest.mark.parametrize("plant", [planted_no_refusal, planted_cancellation_of_finished_jobs])
+def test_served_invalid_requests_are_detected(begin, monkeypatch, plant):
     plant(monkeypatch)
     world = begin()
     with pytest.raises(AssertionError, match=r"invented|went_back"):
-        odd_requests(world)
+        send_invalid_requests(world)
 
 
-# --- cancelled as the store refuses the leader alone, and a second later everybody ------------
+# --- cancellations while the store refuses the leader, then every node ------------------------
 
 SWEEP_S = [round(-1.5 + 0.05 * i, 2) for i in range(60)]
 IN_CI = SWEEP_S[1::3]
-DOWN_AFTER_S, DOWN_S = 1.0, 57.0  # s after the refusal; s for which nobody has the store, of 45
+DOWN_AFTER_S, DOWN_S = 1.0, 57.0  # s after the refusal; s of store outage (limit: 45)
 
 
-def refused_alone(world: World, offset_s: float) -> float:
-    """Longest time from a user's confirmation to the end of the last task."""
+def cancel_while_leader_is_refused(world: World, offset_s: float) -> float:
+    """Longest time from a confirmed cancellation to the end of its last task."""
     shapes = list(SHAPES)
     for i in range(4):
         world.submit(job(i, shapes[i % 3], expected_s=150.0), f"host-{i % 3}")
@@ -514,51 +516,51 @@
         name, node = f"j-{i:06d}", others[i % 2]
         world.at(at + offset_s, lambda name=name, node=node: world.cancel(name, node))
     world.run(at + DOWN_AFTER_S + DOWN_S + 12.0)
-    told = [name for name, known in world.checker.jobs.items() if known.told == "cancelled"]
-    assert len(told) == 3 and {name for name, _ in world.checker.live} <= {"j-000003"}
+    cancelled = [name for name, known in world.checker.jobs.items() if known.told == "cancelled"]
+    assert len(cancelled) == 3 and {name for name, _ in world.checker.live} <= {"j-000003"}
     return world.checker.gone_s
 
 
 @pytest.mark.parametrize("offset_s", IN_CI)
-def test_work_cancelled_as_the_store_refuses_the_leader_is_gone_in_time(begin, offset_s):
+def test_work_cancelled_while_the_store_refuses_the_leader_ends_in_time(begin, offset_s):
     world = begin(run_s=150.0, machines=2)
-    assert refused_alone(world, offset_s) < 6.0
+    assert cancel_while_leader_is_refused(world, offset_s) < 6.0
 
 
-def test_work_that_outlives_its_cancellation_there_is_noticed(begin, monkeypatch):
+def test_work_that_outlives_its_cancellation_is_detected(begin, monkeypatch):
     planted_store_alone(monkeypatch)
     with pytest.raises(AssertionError, match=r"renewed|ran_cancelled"):
-        refused_alone(begin(run_s=150.0, machines=2), 0.3)
+        cancel_while_leader_is_refused(begin(run_s=150.0, machines=2), 0.3)
 
 
-# --- an answer of the store that comes after the job's end ------------------------------------
+# --- store answers that arrive after the job's end --------------------------------------------
 
 
 def cancelled_by_a_slow_answer(world: World) -> str:
-    """A follower hears of the job's end by its watch before it hears that it cancelled it."""
-    world.submit(job(0, tasks=16), "host-0")  # there is no room for another
+    """A follower learns of the job's end by its watch before its own cancellation is answered."""
+    world.submit(job(0, tasks=16), "host-0")  # leaves no capacity for another job
     world.run(BEGIN_S + 4.0)
     world.submit(job(1), "host-0")
     world.run(BEGIN_S + 5.0)
     follower = next(name for name in world.controllers if name != world.leader())
-    world.wire.rules = [Rule(submission_or_cancellation, "slow", 1.2, 2.0)]
+    world.store_link.rules = [FaultRule(submission_or_cancellation, "slow", 1.2, 2.0)]
     world.cancel("j-000001", follower)
     world.run(BEGIN_S + 7.0)
-    assert world.wire.rules[0].met and final_states(world) == {"j-000001": "cancelled"}
+    assert world.store_link.rules[0].met and final_states(world) == {"j-000001": "cancelled"}
     return follower
 
 
-def test_a_job_that_is_over_is_not_taken_in_by_a_late_answer(begin):
-    """It stayed among that node's accepted jobs until it listed them all again."""
+def test_a_late_answer_does_not_readd_a_finished_job(begin):
+    """The job stayed among that node's accepted jobs until the next full listing."""
     world = begin(run_s=150.0, machines=1)
     follower = cancelled_by_a_slow_answer(world)
     assert set(world.node(follower).owner.inbox.accepted) == {"j-000000"}
 
 
-def watched_in_vain(world: World) -> int:
-    """Only the leader's watches get no answer; how many of 8 jobs are over after 30 s."""
+def run_without_watch_answers(world: World) -> int:
+    """Block only the leader's watches; returns how many of 8 jobs are finished after 30 s."""
     leader = world.leader()
-    world.wire.lags = {leader: 60.0}
+    world.store_link.lags = {leader: 60.0}
     others = [name for name in world.controllers if name != leader]
     for i in range(8):
         world.at(BEGIN_S + 1.0 + i, lambda i=i: world.submit(job(i), others[i % 2]))
@@ -567,36 +569,36 @@
     return len(final_states(world))
 
 
-def test_a_leader_whose_watches_alone_get_no_answer_runs_what_others_accept(begin, monkeypatch):
-    """It led on and heard of no job: 20 were accepted in 90 s and none was run."""
-    assert watched_in_vain(begin()) == 8
+def test_a_leader_without_watch_answers_runs_jobs_that_others_accept(begin, monkeypatch):
+    """The leader stayed but saw no new job: 20 were accepted in 90 s and none was run."""
+    assert run_without_watch_answers(begin()) == 8
     monkeypatch.setattr(c, "WATCH_UNANSWERED", 10**6)
-    assert watched_in_vain(begin()) == 0
+    assert run_without_watch_answers(begin()) == 0
 
 
-# --- answers that overlap on one node ---------------------------------------------------------
+# --- overlapping answers of one node ----------------------------------------------------------
 
 
 DONE = {"status": "done", "done": 4}  # a final record
 
 
-def during_the_compare(f: Front, event: Callable[[], None]) -> None:
-    """`event` happens when the store has answered a comparison and the poll has not."""
-    honest = f.store.commit
+def during_the_compare(f: UserApi, event: Callable[[], None]) -> None:
+    """Run `event` after the store has answered a comparison and before the poll is answered."""
+    original = f.store.commit
 
     async def commit(guards, writes):
         try:
-            return await honest(guards, writes)
+            return await original(guards, writes)
         finally:
             event()
 
     f.store.commit = commit
 
 
-def test_a_refused_comparison_that_names_no_key_is_asked_again():
-    """It once counted as one where nothing had changed: an accepted job got 404."""
-    f = front()
-    know(f, "j-2", told=False, cancel=3.0)
+def test_a_conflict_that_names_no_key_is_read_again():
+    """Taken as a comparison without changes, it gave an accepted job 404."""
+    f = make_front()
+    store_job(f, "j-2", current=False, cancel=3.0)
     f.store.keys[sk.JOB + "j-1"] = ({"spec": msgspec.to_builtins(spec("j-1")), "at": 0.0}, 5)
 
     async def commit(guards, writes):
@@ -604,41 +606,42 @@
         raise Conflict([])
 
     f.store.commit = commit
-    assert polls(f, ["j-1", "j-2", "j-3"]) == ["queued", "cancelled", "404"]
+    assert poll_jobs(f, ["j-1", "j-2", "j-3"]) == ["queued", "cancelled", "404"]
 
 
-def test_a_poll_on_its_way_tells_what_was_told_here_meanwhile():
-    """The store's word was older than an answer that a user of this node had already."""
+def test_a_poll_in_flight_reflects_states_reported_here_meanwhile():
+    """The store's answer was older than one that a user of this node had already received."""
     inbox_row = {"spec": msgspec.to_builtins(spec("j-1")), "at": 0.0, "cancel": None}
-    f = front()
+    f = make_front()
     during_the_compare(f, lambda: f.owner.work([cm.InboxRows([(sk.JOB + "j-1", inbox_row, 7)])]))
-    assert polls(f, ["j-1"]) == ["queued"]  # accepted here, after the store had not known it
+    # Accepted here after the store answered that it is unknown.
+    assert poll_jobs(f, ["j-1"]) == ["queued"]
 
-    for told in (True, False):  # by comparison, and by reading
-        f = front()
-        know(f, "j-1", told)
+    for current in (True, False):  # by comparison, and by reading
+        f = make_front()
+        store_job(f, "j-1", current)
 
         during_the_compare(f, lambda f=f: f.owner.inbox.remember_terminal("j-1", DONE))
-        assert polls(f, ["j-1"]) == ["done"]
+        assert poll_jobs(f, ["j-1"]) == ["done"]
 
-        f = front()
-        know(f, "j-1", told)
+        f = make_front()
+        store_job(f, "j-1", current)
         during_the_compare(f, lambda f=f: f.owner.cancellations.confirm("j-1", 3.0, 0.0))
-        assert polls(f, ["j-1"]) == ["cancelled"]
+        assert poll_jobs(f, ["j-1"]) == ["cancelled"]
 
 
-def test_a_cancellation_that_overtakes_its_submission_is_repeated_not_answered_queued():
-    """200 with "queued" once answered it, and the job ran on."""
+def test_a_cancellation_that_overtakes_its_submission_gets_503_not_queued():
+    """A 200 with "queued" would hide that the job is not cancelled and keeps running."""
 
     async def go() -> None:
-        f = front()
-        honest, reads = f.store.get, []
+        f = make_front()
+        original, reads = f.store.get, []
 
         async def get(key):
-            found = await honest(key)
+            found = await original(key)
             reads.append(key)
             if reads == [sk.JOB + "j-1"]:
-                know(f, "j-1")
+                store_job(f, "j-1")
             return found
 
         f.store.get = get
@@ -648,21 +651,23 @@
     asyncio.run(go())
 
 
-# --- the comparison itself --------------------------------------------------------------------
+# --- comparison of answers --------------------------------------------------------------------
 
 
-def told(sent: float, received: float, code: int = 200, state: str | None = None, done=None):
+def answered_at(sent: float, received: float, code: int = 200, state: str | None = None, done=None):
     return answers.Answer(sent, received, "host-0", "j-1", "poll", code, state, done)
 
 
-def test_answers_are_compared_where_one_was_asked_after_the_other_came():
-    """Those that overlap may be told either state, in whatever order they come."""
-    running, unknown = told(1.0, 2.0, 200, "running", 3), told(2.5, 2.6, 404)
-    ended, late = told(3.0, 4.0, 200, "done", 4), told(3.5, 4.5, 200, "queued", 1)
-    assert not answers.older([running, ended, late, told(0.5, 2.4, 404), told(5.0, 6.0, 503)])
+def test_only_non_overlapping_answers_are_ordered():
+    """Overlapping requests may see either state, in whatever order they are answered."""
+    running, unknown = answered_at(1.0, 2.0, 200, "running", 3), answered_at(2.5, 2.6, 404)
+    ended, late = answered_at(3.0, 4.0, 200, "done", 4), answered_at(3.5, 4.5, 200, "queued", 1)
+    assert not answers.older(
+        [running, ended, late, answered_at(0.5, 2.4, 404), answered_at(5.0, 6.0, 503)]
+    )
     assert answers.older([running, unknown, ended]) == [answers.Older(running, unknown)]
-    assert answers.older([told(4.1, 5.0, 200, "running"), ended])
-    assert answers.older([told(4.1, 5.0, 200, "cancelled"), ended])
-    assert answers.contradictions([told(3.0, 5.0, 200, "cancelled"), ended]) == ["j-1"]
+    assert answers.older([answered_at(4.1, 5.0, 200, "running"), ended])
+    assert answers.older([answered_at(4.1, 5.0, 200, "cancelled"), ended])
+    assert answers.contradictions([answered_at(3.0, 5.0, 200, "cancelled"), ended]) == ["j-1"]
     assert answers.count_falls([running, late, ended]) == 1
-    assert answers.count_falls([told(1.5, 2.0, 200, "running", 1), running]) == 0
+    assert answers.count_falls([answered_at(1.5, 2.0, 200, "running", 1), running]) == 0
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -7,7 +7,7 @@
 from coveflow import constants as c
 from coveflow.core import placement, planner
 from coveflow.daemon import commands as cm
-from coveflow.daemon.answers import Answers
+from coveflow.daemon.report_answers import ReportAnswers
 from coveflow.lab.replies import Reply
 from coveflow.state import keys as sk
 from coveflow.state.records import Records
@@ -266,7 +266,7 @@
 
 
 def test_the_world_notices_a_clear_before_its_commit(monkeypatch):
-    honest = Answers.orders
+    honest = ReportAnswers.orders
 
     def hasty(self, m, report, peek=False):
         held, m.uncommitted_ends = m.uncommitted_ends, set()
@@ -278,8 +278,8 @@
     def at_once(self, m, report, reply, *_):
         self.answer(m, cm.Held(report, reply, 0.0, False))
 
-    monkeypatch.setattr(Answers, "orders", hasty)
-    monkeypatch.setattr(Answers, "answer_or_hold", at_once)
+    monkeypatch.setattr(ReportAnswers, "orders", hasty)
+    monkeypatch.setattr(ReportAnswers, "answer_or_hold", at_once)
     with pytest.raises(Broken, match="run after clear"):
         provoke(60, lambda world, name, owner: None)
 
