--- a/coveflow/daemon/commands.py
+++ b/coveflow/daemon/commands.py
@@ -1,4 +1,4 @@
-"""What goes through the owner's queue; the names of what the state service keeps beside it."""
+"""Commands processed by the owner's queue, and the structures that they and transactions carry."""
 
 from __future__ import annotations
 
@@ -25,70 +25,70 @@
 from coveflow.state.records import Draft
 
 
-class Accepted(msgspec.Struct, eq=False):
+class AcceptedJob(msgspec.Struct, eq=False):
     spec: Spec
     at: float
     rev: int
     cancelled: float | None
-    # What another interface keeps with the job: carried to its final record, read by no decision.
+    # Data of another interface, copied to the final record; no scheduling decision reads it.
     rider: Any = None
-    # Of a job with a rider: what its tasks' own word was, by task; committed before the task ends.
+    # For a job with a rider: outcomes reported by its tasks, committed before the task ends.
     outcome: dict[str, Any] = {}
-    told: bool = False  # cancelled by a peer's word; the row that says so has yet to come
+    awaits_row: bool = False  # cancelled as reported by a peer; its row has yet to arrive
 
 
-def accepted_of(spec: Spec, value: dict[str, Any], rev: int) -> Accepted:
-    """The record of an accepted job as this node keeps it.
+def decode_accepted_job(spec: Spec, value: dict[str, Any], rev: int) -> AcceptedJob:
+    """Decode the record of an accepted job.
 
-    Raises ValueError, or another error of `inbox.UNREADABLE`, where it is none: one with a text for
-    a time, or a million million tasks, would end each planning pass.
+    Raises ValueError, or another error of `inbox.DECODE_ERRORS`, for an invalid record: one with a
+    string as a time, or 10**12 tasks, would make every planning pass fail.
     """
     at = msgspec.convert(value["at"], float)
     cancelled = msgspec.convert(value.get("cancel"), float | None)
     if not math.isfinite(at) or not math.isfinite(cancelled or 0.0):
-        raise ValueError("a time is no number")
+        raise ValueError("a time is not a finite number")
     outcome = msgspec.convert(value.get("outcome") or {}, dict[str, Any])
-    return Accepted(_checked(spec), at, rev, cancelled, value.get("rider"), outcome)
+    return AcceptedJob(_checked(spec), at, rev, cancelled, value.get("rider"), outcome)
 
 
 def _checked(spec: Spec) -> Spec:
-    """The job, if all that plans go by is in range."""
+    """Return the specification if every value that planning uses is in range."""
     numbers = (
         spec.cpus, spec.accelerators, spec.ram_gb, spec.image_gb, spec.expected_s,
         spec.checkpoint_s, spec.save_s, spec.deadline_s or 0.0,
     )  # fmt: skip
-    if not all(number >= 0.0 for number in numbers):  # NaN neither
-        raise ValueError("a number is out of range")
+    if not all(number >= 0.0 for number in numbers):  # also rejects NaN
+        raise ValueError("a resource or duration is negative or NaN")
     if spec.kind not in KINDS or not 1 <= spec.tasks <= c.MAX_TASKS:
-        raise ValueError("shape or number of tasks")
+        raise ValueError("unknown kind of job or number of tasks out of range")
     return spec
 
 
-class End(msgspec.Struct, eq=False):
-    """The proven end of an attempt whose commit is pending."""
+class AttemptEnd(msgspec.Struct, eq=False):
+    """The proven end of an attempt, waiting for its commit."""
 
     placement: Placement
     done: bool
     at: float
 
 
-class Held(msgspec.Struct, eq=False):
-    """A report whose answer waits for a commit, or for new work."""
+class PendingAnswer(msgspec.Struct, eq=False):
+    """A report whose answer is deferred until a commit or until there is new work."""
 
     report: Report
     reply: asyncio.Future[bytes | None]
-    until: float
+    deadline: float
     for_commit: bool
-    since: float = 0.0
-    again: list[asyncio.Future[bytes | None]] = []  # the same report, sent once more
+    received_at: float = 0.0
+    duplicates: list[asyncio.Future[bytes | None]] = []  # replies to copies of the same report
 
-    def waits(self) -> bool:
-        """Whether anybody still waits for the answer."""
-        return not all(reply.done() for reply in (self.reply, *self.again))
+    def is_awaited(self) -> bool:
+        """Whether any sender still waits for the answer."""
+        return not all(reply.done() for reply in (self.reply, *self.duplicates))
 
-    def give(self, answer: bytes | None) -> None:
-        """Answer it, wherever it came from; None: not by this node."""
-        for reply in (self.reply, *self.again):
+    def resolve(self, answer: bytes | None) -> None:
+        """Answer the report and its copies; None: this node gives no answer."""
+        for reply in (self.reply, *self.duplicates):
             if not reply.done():
                 reply.set_result(answer)
 
@@ -96,35 +96,35 @@
 # --- commands --------------------------------------------------------------------------
 
 
-class Heard(msgspec.Struct, eq=False):
+class ReportReceived(msgspec.Struct, eq=False):
     report: Report
     reply: asyncio.Future[bytes | None]
-    patient: bool = True  # the answer may wait for new work
-    asked: bool = True  # no: its machine was sent to another node, which is answer enough
+    may_wait: bool = True  # the answer may wait for new work
+    expects_answer: bool = True  # False: the machine was already redirected to another node
 
 
 class DirectRequest(msgspec.Struct, eq=False):
-    """What a machine is asked at its own address: to stop tasks, or only to tell what it has."""
+    """A request to a machine's own address: to stop tasks, or only to list its tasks."""
 
     machine: str
     address: str
     epoch: int
-    tenure: int  # the machine carries out nothing in another session
+    tenure: int  # the machine ignores the stops in another session
     stops: list[Order]
 
 
 class DirectAnswer(msgspec.Struct, eq=False):
     request: DirectRequest
-    report: Report | None  # as the machine made it after the request; None: no answer
+    report: Report | None  # created by the machine after the request; None: no answer
 
 
 class InboxRows(msgspec.Struct, eq=False):
     rows: list[tuple[str, Any, int]]
-    listed: int | None = None  # revision of a full listing; None: these are changes
+    listed: int | None = None  # revision of a full listing; None: incremental changes
     applied: asyncio.Future[None] | None = None
 
 
-class Lead(msgspec.Struct, eq=False):
+class StartLeading(msgspec.Struct, eq=False):
     epoch: int
     rev: int
     rows: list[tuple[str, Any, int]]
@@ -134,7 +134,7 @@
     pass
 
 
-class Settled(msgspec.Struct, eq=False):
+class CommitResult(msgspec.Struct, eq=False):
     txn: Txn
     rev: int | None
     conflict: list[str] | None = None
@@ -144,36 +144,36 @@
     rows: list[ListedMachine]
 
 
-class Rented(msgspec.Struct, eq=False):
+class MachinesRented(msgspec.Struct, eq=False):
     want: fleet.RentalRequest
     machines: list[str]
 
 
-class Refused(msgspec.Struct, eq=False):
+class RentRefused(msgspec.Struct, eq=False):
     want: fleet.RentalRequest
 
 
-class Returned(msgspec.Struct, eq=False):
+class MachinesReturned(msgspec.Struct, eq=False):
     machines: list[str]
 
 
-class Vouched(msgspec.Struct, eq=False):
-    """Machines that a node out of this one's reach keeps alive."""
+class LeasesRenewedByPeer(msgspec.Struct, eq=False):
+    """Machines whose leases are renewed by a node that this one can't reach."""
 
     machines: list[str]
 
 
-class PeerWord(msgspec.Struct, eq=False):
-    """What another member told of the cancellations it confirmed; None: nothing of them."""
+class PeerCancellations(msgspec.Struct, eq=False):
+    """Cancellations that another member confirmed to users; `jobs` None: not included."""
 
     name: str
     process: str
     jobs: dict[str, float] | None
-    sent: float  # when that was sent which it answers
+    sent: float  # when the request that it answers was sent
 
 
-class Confirmed(msgspec.Struct, eq=False):
-    """A user is told here that the job is cancelled."""
+class CancellationConfirmed(msgspec.Struct, eq=False):
+    """This node confirms to a user that the job is cancelled."""
 
     job: str
 
@@ -182,17 +182,17 @@
     flavors: list[Flavor]
 
 
-class Release(msgspec.Struct, eq=False):
-    """An operator's word on held tasks: run them again, or give them up for good."""
+class HeldTasksDecision(msgspec.Struct, eq=False):
+    """An operator's decision on held tasks: run them again, or give them up permanently."""
 
     job: str
-    tasks: list[int] | None  # None: all that the job holds
+    tasks: list[int] | None  # None: all held tasks of the job
     again: bool
-    reply: asyncio.Future[dict[str, Any] | None]  # None: not known, ask again
+    reply: asyncio.Future[dict[str, Any] | None]  # None: unknown, retry
 
 
-class Drain(msgspec.Struct, eq=False):
-    """An operator's word: the machine takes no more work and goes back, or takes work again."""
+class DrainRequest(msgspec.Struct, eq=False):
+    """An operator's request: drain and return the machine, or let it take work again."""
 
     machine: str
     on: bool
@@ -200,22 +200,22 @@
 
 
 Command = (
-    Heard
+    ReportReceived
     | DirectAnswer
     | InboxRows
-    | Lead
+    | StartLeading
     | Tick
-    | Settled
+    | CommitResult
     | CloudList
-    | Rented
-    | Refused
-    | Returned
-    | Vouched
-    | PeerWord
-    | Confirmed
+    | MachinesRented
+    | RentRefused
+    | MachinesReturned
+    | LeasesRenewedByPeer
+    | PeerCancellations
+    | CancellationConfirmed
     | Prices
-    | Release
-    | Drain
+    | HeldTasksDecision
+    | DrainRequest
 )
 
 
@@ -224,17 +224,17 @@
     writes: dict[str, Any]
     draft: Draft | None = None
     jobs: list[tuple[Job, set[int]]] = []
-    done: list[tuple[Job, int]] = []  # tasks done, as the rows of each of `jobs` have them
+    done: list[tuple[Job, int]] = []  # number of done tasks that this transaction records
     finished: list[Job] = []
     machines: list[Machine] = []
     removed: list[Machine] = []
     placed: list[Placement] = []
-    ends: list[tuple[Machine, End]] = []
+    ends: list[tuple[Machine, AttemptEnd]] = []
     held: list[Job] = []
-    releases: list[tuple[Job, list[int], Release]] = []
-    drains: list[Drain] = []
+    releases: list[tuple[Job, list[int], HeldTasksDecision]] = []
+    drains: list[DrainRequest] = []
     history: bool = False
 
-    def proof(self) -> str | None:
-        """A key that only the leader of this transaction's view writes, if it writes one."""
+    def leader_only_key(self) -> str | None:
+        """A written key that only the leader of this transaction's view writes, if any."""
         return next((key for key in self.writes if key.startswith(LEADER_STATE)), None)
--- a/coveflow/daemon/comparisons.py
+++ b/coveflow/daemon/comparisons.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from coveflow import constants as c
-from coveflow.daemon.commands import Accepted
+from coveflow.daemon.commands import AcceptedJob
 from coveflow.daemon.inbox import Inbox
 from coveflow.net.http import Unavailable
 from coveflow.state import keys as sk
@@ -21,7 +21,7 @@
     """Whether the store confirmed what this node knew of a job, and what that was."""
 
     unchanged: bool
-    known: Accepted | None
+    known: AcceptedJob | None
 
 
 Waiting = dict[str, asyncio.Future[Comparison]]
@@ -70,11 +70,11 @@
                     future.set_result(Comparison(not changed, known[job]))
             await asyncio.sleep(self.store.pace_s(c.POLL_PACE_S, c.POLL_PART))
 
-    def _next_batch(self) -> tuple[Waiting, dict[str, Accepted | None], dict[str, int]]:
+    def _next_batch(self) -> tuple[Waiting, dict[str, AcceptedJob | None], dict[str, int]]:
         """Requests for one transaction, the known states of their jobs, and the matching guards."""
         guards: dict[str, int] = {}
         batch: Waiting = {}
-        known: dict[str, Accepted | None] = {}
+        known: dict[str, AcceptedJob | None] = {}
         for job, future in self.waiting.items():
             if len(guards) + 2 > self.max_guards and batch:
                 break
--- a/coveflow/daemon/direct_requests.py
+++ b/coveflow/daemon/direct_requests.py
@@ -10,9 +10,9 @@
 
 from coveflow import constants as c
 from coveflow.core.model import Machine, Order
-from coveflow.daemon.around import Around
-from coveflow.daemon.book import Book
 from coveflow.daemon.commands import DirectRequest
+from coveflow.daemon.context import NodeContext
+from coveflow.daemon.leader_state import LeaderState
 
 
 class RequestState(msgspec.Struct, eq=False):
@@ -26,10 +26,10 @@
 class DirectRequests:
     """Schedules direct requests to silent machines, with a backoff per machine."""
 
-    def __init__(self, around: Around, book: Book) -> None:
-        self.around, self.book = around, book
+    def __init__(self, context: NodeContext, state: LeaderState) -> None:
+        self.context, self.state = context, state
         self.requests: dict[str, RequestState] = {}
-        workers = around.settings.params.workers
+        workers = context.settings.params.workers
         self.lease_s = workers.lease_s
         # Longest interval between two reports while nothing is wrong.
         self.max_report_gap_s = 1.25 * workers.report_s + c.DIRECT_LATE_S
@@ -37,9 +37,9 @@
     def tick(self, now: float) -> None:
         """Send the requests that are due: those with stops first, then the longest overdue."""
         due: list[tuple[bool, float, str, DirectRequest]] = []
-        for m in self.book.machines.values():
+        for m in self.state.machines.values():
             silent_s = now - max(m.last_report_at, m.answer_receipt.reported_at)
-            if silent_s <= self.max_report_gap_s or m.id in self.book.drop:
+            if silent_s <= self.max_report_gap_s or m.id in self.state.machines_to_delete:
                 self.requests.pop(m.id, None)
                 continue
             stops = self._stops(m)
@@ -47,28 +47,28 @@
                 continue
             state = self.requests.setdefault(m.id, RequestState())
             if m.address and not state.in_flight and now >= state.next_at:
-                request = DirectRequest(m.id, m.address, self.book.leading, m.tenure, stops)
+                request = DirectRequest(m.id, m.address, self.state.leading, m.tenure, stops)
                 due.append((not stops, state.next_at, m.id, request))
-        for name in [name for name in self.requests if name not in self.book.machines]:
+        for name in [name for name in self.requests if name not in self.state.machines]:
             del self.requests[name]
         room = c.DIRECT_AT_ONCE - sum(state.in_flight for state in self.requests.values())
         for _, _, name, request in sorted(due)[: max(0, room)]:
             self.requests[name].in_flight = True
-            self.around.meters.add("direct requests")
-            self.around.effects("direct", request)
+            self.context.meters.add("direct requests")
+            self.context.effects("direct", request)
 
     def answered(self, machine: str, reached: bool) -> None:
         state = self.requests.get(machine)
         if state is None:
             return
         state.in_flight = False
-        state.next_at = self.around.clock() + state.pause_s
+        state.next_at = self.context.clock() + state.pause_s
         backoff_s = min(2 * state.pause_s, c.DIRECT_PAUSE_MAX_S)
         state.pause_s = c.DIRECT_PAUSE_S if reached else backoff_s
 
     def _stops(self, m: Machine) -> list[Order]:
         """Stops of cancelled jobs' tasks on the machine; harmless however late they arrive."""
-        jobs = self.book.jobs
+        jobs = self.state.jobs
         return [
             Order("stop", *p.key)
             for p in m.placements.values()
--- a/coveflow/daemon/mailbox.py
+++ b/coveflow/daemon/mailbox.py
@@ -16,10 +16,10 @@
 from coveflow import wire
 from coveflow.core.contacts import Contacts
 from coveflow.core.model import Report
-from coveflow.daemon.commands import Vouched
+from coveflow.daemon.commands import LeasesRenewedByPeer
+from coveflow.daemon.malformed_input import MalformedInputLog
 from coveflow.daemon.owner import Owner
 from coveflow.daemon.report_intake import ReportIntake
-from coveflow.daemon.unreadable import Unreadable
 from coveflow.logs import Log
 from coveflow.net.http import Unavailable
 from coveflow.settings import Settings
@@ -74,7 +74,7 @@
         store: Store,
         boot: str,
         contacts: Contacts,
-        unreadable: Unreadable,
+        unreadable: MalformedInputLog,
         clock: Callable[[], float],
     ) -> None:
         """`boot` identifies this process; `contacts` holds the machines that it keeps alive."""
@@ -113,7 +113,7 @@
         try:
             replies = msgspec.convert(value, Replies)
         except msgspec.ValidationError as error:
-            self.unreadable.tell(error)
+            self.unreadable.note(error)
             return
         if replies.boot != self.boot:
             return
@@ -190,7 +190,7 @@
         owner: Owner,
         store: Store,
         intake: ReportIntake,
-        unreadable: Unreadable,
+        unreadable: MalformedInputLog,
     ) -> None:
         self.max_bytes = int(settings.params.state.value_kb * 1024 * c.REPLY_PART)  # bytes
         self.owner, self.store = owner, store
@@ -201,9 +201,9 @@
         try:
             mail = msgspec.convert(value, Mail)
         except msgspec.ValidationError as error:
-            self.unreadable.tell(error)
+            self.unreadable.note(error)
             return
-        self.owner.put(Vouched(mail.alive))
+        self.owner.put(LeasesRenewedByPeer(mail.alive))
         reports = self._readable_reports(mail)
         tasks = [
             asyncio.create_task(self.intake.answer(report, patient=False)) for report in reports
@@ -214,7 +214,7 @@
         replies = Replies(mail.boot, self._ready_answers(reports, tasks))
         try:
             await self.store.commit(
-                {VIEW: self.owner.book.rev}, {REPLY + member: msgspec.to_builtins(replies)}
+                {VIEW: self.owner.state.rev}, {REPLY + member: msgspec.to_builtins(replies)}
             )
         except (Unavailable, Conflict) as error:
             log.debug("writing mail reply failed", member=member, why=error)
@@ -226,7 +226,7 @@
             try:
                 reports.append(wire.read_mail_report(machine, row))
             except wire.Malformed as error:
-                self.unreadable.tell(error)
+                self.unreadable.note(error)
         return reports
 
     def _ready_answers(
--- a/coveflow/daemon/node.py
+++ b/coveflow/daemon/node.py
@@ -72,14 +72,14 @@
             params.state,
             params.size,
             self.clock,
-            self.owner.around.meters,
+            self.owner.context.meters,
         )
         self.cloud = CloudClient(
             self.session,
             settings.services.cloud,
             params.cloud.rps,
             self.clock,
-            self.owner.around.meters,
+            self.owner.context.meters,
         )
         self.machines = MachineClient(self.session)
         self.peers = Peers(
@@ -90,8 +90,8 @@
             self.on_relayed_report,
             self.on_peer_view,
             lambda: self.owner.inbox.view.leader,
-            lambda *report: self.owner.put(cm.PeerWord(*report)),
-            self.owner.hear_counts,
+            lambda *report: self.owner.put(cm.PeerCancellations(*report)),
+            self.owner.receive_counts,
         )
         self.membership = Membership(
             settings,
@@ -128,12 +128,12 @@
         self.timer_lateness_s = 0.0  # decaying maximum of timer lateness
         self.compute_pace = overload.ComputeSpeed()
         if tuning.trace:
-            self.owner.around.trace = Tracer(tuning.trace, self.clock, self.wall, self.peers.boot)
+            self.owner.context.trace = Tracer(tuning.trace, self.clock, self.wall, self.peers.boot)
         self.membership.on_store_contact = self.owner.cancellations.record_store_contact
-        self.owner.around.effects = self.effect
-        self.owner.around.peer_hears = self.peers.hears
-        self.owner.around.peers_known = self.peers.all_fresh
-        self.owner.around.peer_fresh = self.peers.fresh
+        self.owner.context.effects = self.effect
+        self.owner.context.peer_has_newer_report = self.peers.hears
+        self.owner.context.all_peers_answer = self.peers.all_fresh
+        self.owner.context.peer_answers = self.peers.fresh
         self.tasks: set[asyncio.Task[None]] = set()
         self.leader_tasks: set[asyncio.Task[None]] = set()
         # Loops of other interfaces that run for as long as the node does.
@@ -270,13 +270,15 @@
 
     async def _commit(self, txn: cm.Txn) -> None:
         try:
-            rev = await self.store.commit_with_retry(txn.guards, txn.writes, proof=txn.proof())
-            self.owner.put(cm.Settled(txn, rev))
+            rev = await self.store.commit_with_retry(
+                txn.guards, txn.writes, proof=txn.leader_only_key()
+            )
+            self.owner.put(cm.CommitResult(txn, rev))
         except Conflict as conflict:
-            self.owner.put(cm.Settled(txn, None, conflict.failed))
+            self.owner.put(cm.CommitResult(txn, None, conflict.failed))
         except ValueError:
             log.exception("transaction refused")
-            self.owner.put(cm.Settled(txn, None, ["refused"]))
+            self.owner.put(cm.CommitResult(txn, None, ["refused"]))
 
     async def _still_leading(self) -> bool:
         """Check with a guarded commit that this node still leads by the store's current view.
@@ -285,7 +287,7 @@
         returned the whole fleet to the cloud because it no longer heard any worker.
         """
         try:
-            await self.store.commit({sk.VIEW: self.owner.book.rev}, {})
+            await self.store.commit({sk.VIEW: self.owner.state.rev}, {})
         except Conflict:
             return False
         return True
@@ -295,26 +297,26 @@
         name = f"{self.settings.name}-{uuid.uuid4().hex}"
         log.info("requesting machines from the cloud", what=want.label())
 
-        async def request() -> cm.Rented | cm.Refused:
+        async def request() -> cm.MachinesRented | cm.RentRefused:
             try:
-                return cm.Rented(
+                return cm.MachinesRented(
                     want,
                     await self.cloud.rent(name, want.flavor, want.zone, want.spot, want.count),
                 )
             except NoCapacity:
-                return cm.Refused(want)
+                return cm.RentRefused(want)
 
         await self._retry_cloud_call("rent", request)
 
     async def _return_machines(self, machines: list[str]) -> None:
-        async def request() -> cm.Returned:
-            names = self.owner.keeper.still_returned(machines)
+        async def request() -> cm.MachinesReturned:
+            names = self.owner.machine_manager.still_to_return(machines)
             if names:
                 await self.cloud.return_machines(names)
-            return cm.Returned(names)
+            return cm.MachinesReturned(names)
 
         async def return_overdue() -> None:
-            names = self.owner.keeper.overdue(machines)
+            names = self.owner.machine_manager.with_overdue_work(machines)
             # While no node reaches the store, no other node can become leader. Waiting for the end
             # of a store outage let hung machines keep cancelled work past the user's time limit.
             if names and self.peers.all_fresh() and not self.peers.peer_reaches_store():
@@ -322,7 +324,7 @@
                 log.info(
                     "returned machines without confirming leadership in the store", machines=names
                 )
-                self.owner.put(cm.Returned(names))
+                self.owner.put(cm.MachinesReturned(names))
 
         await self._retry_cloud_call("return", request, return_overdue)
 
@@ -375,7 +377,7 @@
             except Unavailable:
                 continue  # the next conflict triggers another read
             if value is None:
-                self.owner.put(cm.Settled(cm.Txn({}, {}), None))
+                self.owner.put(cm.CommitResult(cm.Txn({}, {}), None))
                 self.membership.retake = True
             else:
                 self.owner.put(cm.InboxRows([(key, value, rev)]))
@@ -385,7 +387,7 @@
     def _timer_interval_s(self) -> float:
         """Seconds until the next timer run; longer where no deadline can be due."""
         owner = self.owner
-        if not (owner.inbox.accepted or owner.book.machines or self.report_handler.workers()):
+        if not (owner.inbox.accepted or owner.state.machines or self.report_handler.workers()):
             return IDLE_TIMER_S
         return TIMER_S if owner.leading else SUSPICION_CHECK_S  # followers have no earlier deadline
 
@@ -411,15 +413,15 @@
                     "meters",
                     leading=bool(self.owner.leading),
                     jobs=len(self.owner.inbox.accepted),
-                    fleet=self.owner.book.gauge(),
-                    spent=self.owner.around.meters.summary(now - logged_at),
+                    fleet=self.owner.state.fleet_summary(),
+                    spent=self.owner.context.meters.summary(now - logged_at),
                 )
                 logged_at = now
             if now - ticked_at >= TICK_S:
                 ticked_at = now
                 self.owner.put(cm.Tick())
             elif self.owner.leading:
-                self.owner.work([])
+                self.owner.process_batch([])
 
     async def _machine_types_loop(self) -> None:
         """Read the machine types, and keep them in the store for cloud outages."""
--- a/coveflow/daemon/operators.py
+++ b/coveflow/daemon/operators.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from coveflow import wire
-from coveflow.daemon.commands import Drain, Release
+from coveflow.daemon.commands import DrainRequest, HeldTasksDecision
 from coveflow.daemon.owner import Owner
 
 TRACE, HELD, RELEASE, DRAIN = "/trace", "/held", "/release", "/drain"
@@ -55,16 +55,16 @@
             reply = asyncio.get_running_loop().create_future()
             if path == DRAIN:
                 drain = msgspec.convert(payload, _DrainRequest)
-                return await self._submit_command(Drain(drain.machine, drain.on, reply))
+                return await self._submit_command(DrainRequest(drain.machine, drain.on, reply))
             release = msgspec.convert(payload, _ReleaseRequest)
             return await self._submit_command(
-                Release(release.job, release.tasks, release.again, reply)
+                HeldTasksDecision(release.job, release.tasks, release.again, reply)
             )
         except (wire.Malformed, msgspec.ValidationError) as error:
             return 400, wire.error(str(error))
 
     def _trace(self, query: _TraceQuery) -> tuple[int, bytes]:
-        trace = self.owner.around.trace
+        trace = self.owner.context.trace
         if trace is None:
             return 404, wire.error("tracing is disabled; set (trace EVENTS) in the operators' file")
         answer = trace.read(query.epoch, query.after, min(max(query.most, 1), MAX_TRACE_EVENTS))
@@ -83,11 +83,11 @@
                 "done": len(job.done),
                 "tasks": job.spec.tasks,
             }
-            for job in self.owner.book.jobs.values()
+            for job in self.owner.state.jobs.values()
             if job.held or job.given_up
         ]
 
-    async def _submit_command(self, command: Release | Drain) -> tuple[int, bytes]:
+    async def _submit_command(self, command: HeldTasksDecision | DrainRequest) -> tuple[int, bytes]:
         """The owner's answer to an operator's command, given after its commit."""
         self.owner.put(command)
         try:
--- a/coveflow/daemon/owner.py
+++ b/coveflow/daemon/owner.py
@@ -1,9 +1,9 @@
-"""The one owner of a node's state: a queue of commands, worked in batches.
+"""Single owner of a node's in-memory state: processes a queue of commands in batches.
 
-On every node it holds the inbox: the view, the live members and the accepted jobs. On the
-leader it also holds the book, all that is known of the fleet and of all attempts, and the parts
-that work on it. Nothing else changes any of it. What a command decides takes effect outside
-(orders, answers) only after the store has committed it.
+Every node has an inbox: the view, the live members and the accepted jobs. The leader additionally
+has a `LeaderState` (the fleet and all attempts) and the components that operate on it. Nothing
+else modifies this state. The outcome of a command becomes visible outside (orders to workers,
+answers to clients) only after the store has committed it.
 """
 
 from __future__ import annotations
@@ -18,32 +18,32 @@
 from coveflow import constants as c
 from coveflow.core.cancellations import Cancellations
 from coveflow.core.overload import BusyShare
-from coveflow.daemon.around import Around
-from coveflow.daemon.book import Book
 from coveflow.daemon.commands import (
-    Accepted,
+    AcceptedJob,
+    CancellationConfirmed,
     CloudList,
     Command,
-    Confirmed,
+    CommitResult,
     DirectAnswer,
-    Drain,
-    Heard,
+    DrainRequest,
+    HeldTasksDecision,
     InboxRows,
-    Lead,
-    PeerWord,
+    LeasesRenewedByPeer,
+    MachinesRented,
+    MachinesReturned,
+    PeerCancellations,
     Prices,
-    Refused,
-    Release,
-    Rented,
-    Returned,
-    Settled,
+    RentRefused,
+    ReportReceived,
+    StartLeading,
     Tick,
-    Vouched,
 )
 from coveflow.daemon.commits import Commits
+from coveflow.daemon.context import NodeContext
 from coveflow.daemon.direct_requests import DirectRequests
 from coveflow.daemon.inbox import Inbox
-from coveflow.daemon.keeper import Keeper, want_fields
+from coveflow.daemon.leader_state import LeaderState
+from coveflow.daemon.machine_manager import MachineManager, want_fields
 from coveflow.daemon.planning import Planning
 from coveflow.daemon.report_answers import ReportAnswers
 from coveflow.daemon.reports import Reports, machine_fields
@@ -66,7 +66,7 @@
         clock: Callable[[], float],
         wall: Callable[[], float],
     ) -> None:
-        self.around = Around(settings, tuning, clock, wall, Meters())
+        self.context = NodeContext(settings, tuning, clock, wall, Meters())
         self.queue: asyncio.Queue[Command] = asyncio.Queue()
         workers = settings.params.workers
         self.cancellations = Cancellations(
@@ -76,31 +76,32 @@
         self.inbox = Inbox(settings.name, self.cancellations)
         self.inbox.on_job = self._on_job
         self.inbox.on_mail = self._on_mail
-        self.inbox.on_reply = lambda value: self.around.effects("reply", value)
+        self.inbox.on_reply = lambda value: self.context.effects("reply", value)
         self.busy = BusyShare(clock())
-        self.lead_after = -math.inf  # no try to lead before this
-        self.task_counts = TaskCounts()  # what users are told
-        self._new_book()
-
-    def _new_book(self) -> None:
-        """Nothing of an earlier lead is kept: the store is where it is known from."""
-        around, inbox = self.around, self.inbox
-        self.book = Book(around)
-        self.answers = ReportAnswers(around, inbox, self.book)
-        self.reports = Reports(around, inbox, self.book, self.answers)
-        self.commits = Commits(around, inbox, self.book, self.step_down)
-        self.keeper = Keeper(around, inbox, self.book)
-        self.direct = DirectRequests(around, self.book)
-        self.planning = Planning(around, inbox, self.book, self.keeper.rent)
-        # Done and running tasks, for peers; of another interface's jobs also those placed.
+        self.no_lead_before = -math.inf  # this node does not try to lead before this time
+        self.task_counts = TaskCounts()  # task counts reported to users
+        self._reset_leader_state()
+
+    def _reset_leader_state(self) -> None:
+        """Discard all leader state; a new leader restores it from the store."""
+        context, inbox = self.context, self.inbox
+        self.state = LeaderState(context)
+        self.answers = ReportAnswers(context, inbox, self.state)
+        self.reports = Reports(context, inbox, self.state, self.answers)
+        self.commits = Commits(context, inbox, self.state, self.step_down)
+        self.machine_manager = MachineManager(context, inbox, self.state)
+        self.direct = DirectRequests(context, self.state)
+        self.planning = Planning(context, inbox, self.state, self.machine_manager.adjust_fleet)
+        # Done and running tasks by job, sent to peers; for jobs of another interface also the
+        # number of placed tasks.
         self.counts: dict[str, tuple[int, ...]] = {}
 
     @property
     def leading(self) -> int:
-        """The epoch in which this process leads; 0 if it does not."""
-        return self.book.leading
+        """The epoch in which this process is the leader; 0 if it is not."""
+        return self.state.leading
 
-    # --- as membership sees it -----------------------------------------------------------
+    # --- interface for membership -----------------------------------------------------------
 
     @property
     def view(self) -> View:
@@ -111,7 +112,7 @@
         return self.inbox.members
 
     def may_take_over(self, now: float) -> bool:
-        return bool(self.inbox.flavors) and now >= self.lead_after
+        return bool(self.inbox.flavors) and now >= self.no_lead_before
 
     async def apply_inbox_rows(self, rows: list[tuple[str, Any, int]], listed: int | None) -> None:
         applied = asyncio.get_running_loop().create_future()
@@ -119,18 +120,19 @@
         await applied
 
     def lead(self, epoch: int, rev: int, rows: list[tuple[str, Any, int]]) -> None:
-        self.put(Lead(epoch, rev, rows))
+        self.put(StartLeading(epoch, rev, rows))
 
-    def confirm(self, job: str, cancelled: float) -> None:
-        """A user is about to be told here that the job was cancelled at that time of day.
+    def confirm_cancellation(self, job: str, cancelled: float) -> None:
+        """Record that this node is about to confirm the job's cancellation to a user.
 
-        This node acts on it at once, as its peers do: a leader that told a poll of a cancellation
-        which another node wrote went on to run the job until its own watch told it too.
+        `cancelled` is the time of day of the cancellation. The node applies it immediately, as its
+        peers do: otherwise a leader that reports a cancellation written by another node keeps
+        starting tasks of the job until its own watch delivers the row.
         """
-        self.cancellations.confirm(job, cancelled, self.around.clock())
+        self.cancellations.confirm(job, cancelled, self.context.clock())
         entry = self.inbox.accepted.get(job)
         if entry is not None and entry.cancelled is None:
-            self.put(Confirmed(job))
+            self.put(CancellationConfirmed(job))
 
     # --- the queue ---------------------------------------------------------------------
 
@@ -142,225 +144,228 @@
             batch = [await self.queue.get()]
             while not self.queue.empty() and len(batch) < c.BATCH_COMMANDS:
                 batch.append(self.queue.get_nowait())
-            self.work(batch)
+            self.process_batch(batch)
             if len(batch) == c.BATCH_COMMANDS:
-                # The lease's renewal and answers that are ready go before the next batch.
+                # Let the lease renewal and completed answers run before the next batch.
                 await asyncio.sleep(0)
 
-    def work(self, batch: list[Command]) -> None:
-        """Apply a batch, then do what it made due."""
-        began = self.around.clock()
-        self._work(batch)
-        took = self.around.clock() - began
-        reports = sum(isinstance(command, Heard) for command in batch)
-        self.busy.add_busy_time(self.around.batch_s(reports, took))
+    def process_batch(self, batch: list[Command]) -> None:
+        """Apply a batch of commands, then run the work that became due."""
+        began = self.context.clock()
+        self._process_batch(batch)
+        took = self.context.clock() - began
+        reports = sum(isinstance(command, ReportReceived) for command in batch)
+        self.busy.add_busy_time(self.context.batch_duration_s(reports, took))
 
-    def _work(self, batch: list[Command]) -> None:
+    def _process_batch(self, batch: list[Command]) -> None:
         for command in batch:
             self._guarded(lambda command=command: self.apply(command), type(command).__name__)
         if self.leading:
             self._guarded(self.advance, "what was due")
 
     def _guarded(self, work: Callable[[], None], what: str) -> None:
-        """One bad message must not end the node, nor leave a leader with half-changed state."""
+        """Run `work`; on an exception keep the node running, but give up leadership.
+
+        One bad message must neither stop the node nor leave a leader with partially updated state.
+        """
         try:
             work()
         except Exception:
             log.exception("command failed", what=what)
             if self.leading:
                 self.step_down("its state may be wrong")
-                self.around.effects("retake", None)
+                self.context.effects("retake", None)
 
     def apply(self, command: Command) -> None:
         match command:
-            case Heard():
-                self.reports.heard(command)
+            case ReportReceived():
+                self.reports.receive(command)
             case InboxRows():
                 self._inbox_rows(command)
-            case Lead():
-                self._lead(command)
-            case Settled():
-                self.commits.settled(command)
+            case StartLeading():
+                self._start_leading(command)
+            case CommitResult():
+                self.commits.handle_result(command)
             case Prices():
                 for flavor in command.flavors:
                     self.inbox.flavors[flavor.name] = flavor
-            case Vouched():
+            case LeasesRenewedByPeer():
                 for name in command.machines:
-                    if name in self.book.machines:
-                        self.book.machines[name].last_vouched_at = self.around.clock()
-            case PeerWord():
-                self._peer_word(command)
-            case Confirmed():
-                self.inbox.told_cancelled([command.job])
-            case Release() | Drain() if not self.leading:
+                    if name in self.state.machines:
+                        self.state.machines[name].last_vouched_at = self.context.clock()
+            case PeerCancellations():
+                self._apply_peer_cancellations(command)
+            case CancellationConfirmed():
+                self.inbox.apply_peer_cancellations([command.job])
+            case HeldTasksDecision() | DrainRequest() if not self.leading:
                 command.reply.set_result(None)
             case _:
                 if self.leading:
-                    self._of_the_fleet(command)
+                    self._apply_leader_command(command)
 
-    def _of_the_fleet(self, command: Command) -> None:
-        book, now = self.book, self.around.clock()
+    def _apply_leader_command(self, command: Command) -> None:
+        state, now = self.state, self.context.clock()
         match command:
             case Tick():
                 self.tick()
             case DirectAnswer():
                 self.direct.answered(command.request.machine, command.report is not None)
                 if command.report is not None:
-                    self.reports.inspected(command.request.machine, command.report)
+                    self.reports.receive_inspection(command.request.machine, command.report)
             case CloudList():
-                self.keeper.listed(command.rows, now)
-            case Rented():
-                book.fleet.record_rented(command.want, command.machines, now)
-                book.fleet_due = True
-                book.tell("rented", **want_fields(command.want), machines=command.machines)
+                self.machine_manager.apply_cloud_list(command.rows, now)
+            case MachinesRented():
+                state.fleet.record_rented(command.want, command.machines, now)
+                state.rental_due = True
+                state.tell("rented", **want_fields(command.want), machines=command.machines)
                 log.info("rented", what=command.want.label(), machines=command.machines)
-            case Refused():
-                book.tell("refused", **want_fields(command.want))
-                book.fleet.record_refused(command.want, now)
-                book.fleet_due = True
-            case Returned():
+            case RentRefused():
+                state.tell("refused", **want_fields(command.want))
+                state.fleet.record_refused(command.want, now)
+                state.rental_due = True
+            case MachinesReturned():
                 for machine in command.machines:
-                    self.keeper.gone(machine, "returned")
-            case Release():
-                book.release(command)
-            case Drain():
-                self.keeper.drain(command)
+                    self.machine_manager.remove_machine(machine, "returned")
+            case HeldTasksDecision():
+                state.release(command)
+            case DrainRequest():
+                self.machine_manager.drain(command)
 
     # --- inbox -------------------------------------------------------------------------
 
-    def _peer_word(self, command: PeerWord) -> None:
-        now = self.around.clock()
-        self.inbox.told_cancelled(
+    def _apply_peer_cancellations(self, command: PeerCancellations) -> None:
+        now = self.context.clock()
+        self.inbox.apply_peer_cancellations(
             self.cancellations.record_peer_list(
                 command.name, command.process, command.jobs, command.sent, now
             )
         )
 
     def _inbox_rows(self, command: InboxRows) -> None:
-        self.inbox.take(command)
+        self.inbox.apply(command)
         view = self.inbox.view
         if self.leading and (view.epoch, view.leader) != (
             self.leading,
-            self.around.settings.name,
+            self.context.settings.name,
         ):
             self.step_down("another view is in force")
         if command.applied is not None and not command.applied.done():
             command.applied.set_result(None)
 
-    def _on_job(self, entry: Accepted) -> None:
+    def _on_job(self, entry: AcceptedJob) -> None:
         if self.leading:
-            self.book.adopt(entry)
+            self.state.apply_accepted(entry)
 
     def _on_mail(self, member: str, value: object) -> None:
         if self.leading:
-            self.around.effects("mail", (member, value))
+            self.context.effects("mail", (member, value))
 
     # --- leadership --------------------------------------------------------------------
 
-    def _lead(self, command: Lead) -> None:
+    def _start_leading(self, command: StartLeading) -> None:
         view = self.inbox.view
-        if (view.epoch, view.leader) != (command.epoch, self.around.settings.name):
-            log.info("epoch over before it began", epoch=command.epoch)
+        if (view.epoch, view.leader) != (command.epoch, self.context.settings.name):
+            log.info("epoch ended before leadership began", epoch=command.epoch)
             return
-        self._new_book()
-        book, now = self.book, self.around.clock()
-        book.since = now
+        self._reset_leader_state()
+        state, now = self.state, self.context.clock()
+        state.since = now
         try:
-            self.commits.history_rev = restore(book, self.inbox, command.rows, now)
+            self.commits.history_rev = restore(state, self.inbox, command.rows, now)
         except CorruptRecords:
-            self.lead_after = now + c.UNREADABLE_S
+            self.no_lead_before = now + c.UNREADABLE_S
             raise
-        # Last of all: with a part of its state a leader would start again what it forgot.
-        book.leading, book.rev = command.epoch, command.rev
-        waiting = sum(len(job.pending) for job in book.jobs.values() if job.cancelled is None)
+        # Set last: a leader with partial state would start tasks that are already running.
+        state.leading, state.rev = command.epoch, command.rev
+        waiting = sum(len(job.pending) for job in state.jobs.values() if job.cancelled is None)
         log.info(
-            "leading", epoch=book.leading, jobs=len(book.jobs), machines=len(book.machines),
+            "leading", epoch=state.leading, jobs=len(state.jobs), machines=len(state.machines),
             waiting=waiting,
         )  # fmt: skip
-        self._trace_lead()
-        # Polls that came before the first tick were told that nothing was done.
-        self._count()
-        self.around.effects("leading", book.leading)
-        book.pass_due = True
+        self._trace_initial_state()
+        # Count now: polls before the first tick would otherwise report that nothing is done.
+        self._publish_counts()
+        self.context.effects("leading", state.leading)
+        state.pass_due = True
         self.planning.next_pass = now + c.LEAD_PASS_S
 
-    def _trace_lead(self) -> None:
-        """A recorder starts from here: the deployment, and all that is known by now."""
-        book, settings = self.book, self.around.settings
-        if self.around.trace is None:
+    def _trace_initial_state(self) -> None:
+        """Trace the deployment and the restored state, from which a recorder starts."""
+        state, settings = self.state, self.context.settings
+        if self.context.trace is None:
             return
-        self.around.trace.begin(book.leading)
-        book.tell(
+        self.context.trace.begin(state.leading)
+        state.tell(
             "lead",
             node=settings.name,
             params=msgspec.to_builtins(settings.params),
-            tuning=msgspec.to_builtins(self.around.tuning),
+            tuning=msgspec.to_builtins(self.context.tuning),
             types=[msgspec.to_builtins(f) for f in self.inbox.flavors.values()],
         )
-        for job in book.jobs.values():
-            book.tell("accepted", **book.accepted_fields(job), done=len(job.done))
+        for job in state.jobs.values():
+            state.tell("accepted", **state.accepted_fields(job), done=len(job.done))
             for task in sorted(job.held):
-                book.tell("held", job=job.id, task=task, why="recorded")
-        for m in book.machines.values():
+                state.tell("held", job=job.id, task=task, why="recorded")
+        for m in state.machines.values():
             tasks = [[p.job, p.task, p.number] for p in m.placements.values()]
-            book.tell("known", **machine_fields(m), tasks=tasks)
+            state.tell("known", **machine_fields(m), tasks=tasks)
 
     def step_down(self, why: str) -> None:
         if not self.leading:
             return
         log.info("no longer leading", epoch=self.leading, why=why)
-        held = list(self.book.held.values())
-        unsure = [row[1] for rows in self.book.releases.values() for row in rows]
-        unsure += [drain for rows in self.book.drains.values() for drain in rows]
+        pending_answers = list(self.state.pending_answers.values())
+        unresolved = [row[1] for rows in self.state.releases.values() for row in rows]
+        unresolved += [drain for rows in self.state.drains.values() for drain in rows]
         if self.commits.in_flight is not None:
-            unsure += [row[2] for row in self.commits.in_flight.releases]
-            unsure += self.commits.in_flight.drains
-        if self.around.trace is not None:
-            self.around.trace.end(self.leading, why)
-        self._new_book()
-        for command in unsure:
+            unresolved += [row[2] for row in self.commits.in_flight.releases]
+            unresolved += self.commits.in_flight.drains
+        if self.context.trace is not None:
+            self.context.trace.end(self.leading, why)
+        self._reset_leader_state()
+        for command in unresolved:
             if not command.reply.done():
                 command.reply.set_result(None)
-        for waiting in held:
-            # Not entitled any more: the worker tries the next node.
-            waiting.give(None)
-        self.around.effects("stepped_down", why)
+        for pending in pending_answers:
+            # This node may no longer answer; the worker tries the next one.
+            pending.resolve(None)
+        self.context.effects("stepped_down", why)
 
-    # --- what is due -------------------------------------------------------------------
+    # --- periodic and due work -------------------------------------------------------------------
 
     def advance(self) -> None:
-        now = self.around.clock()
-        self.planning.due(now)
-        if self.book.fleet_due:
-            # What one type, zone or kind refused is asked of the next at once.
-            self.keeper.rent(now)
-        self.commits.due(now)
+        now = self.context.clock()
+        self.planning.run_due(now)
+        if self.state.rental_due:
+            # If one machine type, zone or purchase kind refused, request the next one immediately.
+            self.machine_manager.adjust_fleet(now)
+        self.commits.send_due(now)
         self.answers.flush(now)
 
     def tick(self) -> None:
-        now = self.around.clock()
-        self.keeper.tick(now)
+        now = self.context.clock()
+        self.machine_manager.tick(now)
         self.direct.tick(now)
-        self._count()
+        self._publish_counts()
         self.commits.tick(now)
 
-    def _count(self) -> None:
-        """What users are told of their jobs, by this node and, with its pings, by the others."""
+    def _publish_counts(self) -> None:
+        """Update the task counts reported to users, here and (with the pings) by other nodes."""
         self.counts = {
             job.id: (
                 job.done_committed,
                 sum(1 for p in job.placed.values() if p.state == "running"),
                 *((len(job.placed),) if job.rider is not None else ()),
             )
-            for job in self.book.jobs.values()
+            for job in self.state.jobs.values()
         }
-        self._show(self.counts)
+        self._update_task_counts(self.counts)
 
-    def hear_counts(self, node: str, counts: Mapping[str, Sequence[int]]) -> None:
-        """A peer's counts, which are those of the fleet if it leads."""
+    def receive_counts(self, node: str, counts: Mapping[str, Sequence[int]]) -> None:
+        """Take in a peer's counts; they are authoritative only if the peer is the leader."""
         if not self.leading and node == self.inbox.view.leader:
-            self._show(counts)
+            self._update_task_counts(counts)
 
-    def _show(self, counts: Mapping[str, Sequence[int]]) -> None:
+    def _update_task_counts(self, counts: Mapping[str, Sequence[int]]) -> None:
         self.task_counts.update(counts)
         self.task_counts.retain(self.inbox.accepted.keys() | counts.keys())
--- a/coveflow/daemon/report_answers.py
+++ b/coveflow/daemon/report_answers.py
@@ -8,10 +8,10 @@
 
 from coveflow import constants as c
 from coveflow.core.model import Machine, Order, Report
-from coveflow.daemon.around import Around
-from coveflow.daemon.book import Book
-from coveflow.daemon.commands import Held
+from coveflow.daemon.commands import PendingAnswer
+from coveflow.daemon.context import NodeContext
 from coveflow.daemon.inbox import Inbox
+from coveflow.daemon.leader_state import LeaderState
 from coveflow.logs import Log, Seldom
 
 log = Log("coveflow.owner")
@@ -20,9 +20,9 @@
 class ReportAnswers:
     """Answers reports at once, or keeps them pending for a commit or new work."""
 
-    def __init__(self, around: Around, inbox: Inbox, book: Book) -> None:
-        self.around, self.inbox, self.book = around, inbox, book
-        self.params = around.settings.params
+    def __init__(self, context: NodeContext, inbox: Inbox, state: LeaderState) -> None:
+        self.context, self.inbox, self.state = context, inbox, state
+        self.params = context.settings.params
         self.due: list[tuple[float, int, str]] = []  # deadlines of pending answers, a heap
         self.sequence = itertools.count()
         self.unplaced_log = Seldom()
@@ -36,22 +36,22 @@
         now: float,
         patient: bool,
     ) -> None:
-        pending = Held(report, reply, 0.0, for_commit, now)
+        pending = PendingAnswer(report, reply, 0.0, for_commit, now)
         # The machine was silent until recently: its lease is about to end, so answer at once.
-        urgent = now - m.resumed_at < self.book.patience
+        urgent = now - m.resumed_at < self.state.report_timeout_s
         if for_commit and not urgent:
             # Committing these ends often yields the next run for the same worker.
-            pending.until = now + c.HOLD_ANSWER_S
+            pending.deadline = now + c.HOLD_ANSWER_S
         elif (
             patient
             and not urgent
             and not self.orders(m, report, peek=True)
             and self._has_free_capacity(m)
         ):
-            pending.until = now + c.IDLE_ANSWER_PART * self.params.workers.report_s
-        if pending.until > now:
-            self.book.held[m.id] = pending
-            heapq.heappush(self.due, (pending.until, next(self.sequence), m.id))
+            pending.deadline = now + c.IDLE_ANSWER_PART * self.params.workers.report_s
+        if pending.deadline > now:
+            self.state.pending_answers[m.id] = pending
+            heapq.heappush(self.due, (pending.deadline, next(self.sequence), m.id))
         else:
             self.answer(m, pending)
 
@@ -59,13 +59,13 @@
         """Whether it has free capacity, so that work arriving soon can go in this answer."""
         return m.ends_at is None and not m.returning and m.cpus >= 0.5
 
-    def answer(self, m: Machine, pending: Held) -> None:
-        if not pending.waits():
+    def answer(self, m: Machine, pending: PendingAnswer) -> None:
+        if not pending.is_awaited():
             return
         orders = self.orders(m, pending.report)
-        m.last_answered_at = self.around.clock()
+        m.last_answered_at = self.context.clock()
         m.answer_receipt.record_answer(pending.report, orders, m.last_answered_at)
-        pending.give(self.around.answer(self.book.leading, orders))
+        pending.resolve(self.context.encode_answer(self.state.leading, orders))
 
     def orders(self, m: Machine, report: Report, peek: bool = False) -> list[Order]:
         """Orders for the worker, given its report. `run` and `clear` are sent only this way."""
@@ -82,8 +82,8 @@
             elif p is None and self.inbox.cancelled(t.job):
                 orders.append(Order("stop", *key))  # whichever leader started it
             elif p is None:
-                if key not in m.uncommitted_ends and report.epoch == self.book.leading:
-                    count = 0 if peek else self.unplaced_log.due(self.around.clock())
+                if key not in m.uncommitted_ends and report.epoch == self.state.leading:
+                    count = 0 if peek else self.unplaced_log.due(self.context.clock())
                     if count:
                         log.warning(
                             "tasks run without a placement", count=count, machine=m.id,
@@ -94,7 +94,7 @@
                 orders.append(Order("stop", *key, grace_s=p.grace_s))
         for p in m.placements.values():
             if p.committed and not p.stopping and p.key not in present:
-                job = self.book.jobs[p.job]
+                job = self.state.jobs[p.job]
                 if p.tenure != m.tenure or job.may_have_run_unreported(p):
                     continue
                 if self.inbox.cancelled(p.job):
@@ -102,36 +102,36 @@
                 orders.append(Order("run", *p.key))
                 if not peek:
                     if p.sent_with_report < 0:
-                        self.book.tell(
+                        self.state.tell(
                             "told", job=p.job, task=p.task, number=p.number, machine=m.id
                         )
-                        waited = self.around.clock() - p.placed_at
-                        self.around.meters.record_duration("placed to told", waited)
+                        waited = self.context.clock() - p.placed_at
+                        self.context.meters.record_duration("placed to told", waited)
                     p.sent_with_report = report.counter
         return orders
 
     def flush(self, now: float) -> None:
         """Send pending answers that are ready or past their deadline, without a full scan."""
-        book = self.book
-        candidates, book.hot = book.hot, {}
+        state = self.state
+        candidates, state.answers_to_check = state.answers_to_check, {}
         while self.due and self.due[0][0] <= now:
             candidates[heapq.heappop(self.due)[2]] = None
         for machine in candidates:
-            pending = book.held.get(machine)
+            pending = state.pending_answers.get(machine)
             if pending is None:
                 continue
-            m = book.machines.get(machine)
-            if m is None or not pending.waits():
-                del book.held[machine]
-                pending.give(None)
+            m = state.machines.get(machine)
+            if m is None or not pending.is_awaited():
+                del state.pending_answers[machine]
+                pending.resolve(None)
                 continue
             if pending.for_commit:
                 # Wait for the planning pass after the commit of the ends: an answer sent before it
                 # would leave the freed capacity unused until the following report.
                 ready = (
                     not m.uncommitted_ends
-                    and machine not in book.dirty_machines
-                    and book.passed_at >= pending.since
+                    and machine not in state.dirty_machines
+                    and state.last_pass_at >= pending.received_at
                 )
             else:
                 ready = any(
@@ -141,6 +141,6 @@
                     and not p.state
                     for p in m.placements.values()
                 )
-            if ready or now >= pending.until:
-                del book.held[machine]
+            if ready or now >= pending.deadline:
+                del state.pending_answers[machine]
                 self.answer(m, pending)
--- a/coveflow/daemon/report_handler.py
+++ b/coveflow/daemon/report_handler.py
@@ -20,9 +20,9 @@
 from coveflow.daemon.connectivity import Connectivity
 from coveflow.daemon.forwarding import Forwarder
 from coveflow.daemon.mailbox import Mailbox, MailReader
+from coveflow.daemon.malformed_input import MalformedInputLog
 from coveflow.daemon.owner import Owner
 from coveflow.daemon.report_intake import ReportIntake
-from coveflow.daemon.unreadable import Unreadable
 from coveflow.logs import Log
 from coveflow.membership.peers import Peers
 from coveflow.membership.report_batches import BatchSender
@@ -46,7 +46,7 @@
         self.owner, self.clock, self.store = owner, clock, store
         workers, inbox = settings.params.workers, owner.inbox
         self.lease_s = workers.lease_s
-        self.unreadable = Unreadable(clock)
+        self.unreadable = MalformedInputLog(clock)
         self.contacts = Contacts(workers.lease_s)
         self.arrivals = Arrivals(workers.report_s, clock())
         self.connectivity = Connectivity(settings, inbox, peers, store)
@@ -69,17 +69,17 @@
         try:
             report = wire.read_report(body)
         except wire.Malformed as error:
-            self.unreadable.tell(error)
+            self.unreadable.note(error)
             return web.Response(status=400, body=wire.error(str(error)))
         now, owner = self.clock(), self.owner
-        owner.around.meters.add("reports")
+        owner.context.meters.add("reports")
         if not owner.cancellations.may_renew(now):
             return web.Response(status=503)
         contact = self.contacts.record(report, now)
         if contact is None:
             return await self._answer_duplicate(report)
         self.arrivals.record_report(now)
-        homes = owner.around.tuning.homes
+        homes = owner.context.tuning.homes
         redirect = redirects.decide(report, contact, self.connectivity, homes, now)
         if redirect is not None:
             return self._redirect(redirect, report, body)
@@ -148,7 +148,7 @@
         found = self.contacts.answered_reports(now)
         if self.owner.leading and not self.connectivity.store_fresh(now):
             # A leader without the store may have been deposed unknowingly: its workers are alive.
-            for m in self.owner.book.machines.values():
+            for m in self.owner.state.machines.values():
                 if m.counter >= 0 and now - m.last_report_at < self.lease_s:
                     found[m.id] = AnsweredReport(now - m.last_report_at, *m.newest_report)
         return found
--- a/coveflow/daemon/report_intake.py
+++ b/coveflow/daemon/report_intake.py
@@ -10,9 +10,9 @@
 from coveflow import wire
 from coveflow.core.arrivals import Arrivals
 from coveflow.core.model import Report
-from coveflow.daemon.commands import Heard
+from coveflow.daemon.commands import ReportReceived
+from coveflow.daemon.malformed_input import MalformedInputLog
 from coveflow.daemon.owner import Owner
-from coveflow.daemon.unreadable import Unreadable
 from coveflow.membership.peers import Peers
 from coveflow.membership.report_batches import BatchedAnswer, BatchReceiver
 
@@ -25,7 +25,7 @@
         owner: Owner,
         peers: Peers,
         arrivals: Arrivals,
-        unreadable: Unreadable,
+        unreadable: MalformedInputLog,
         clock: Callable[[], float],
     ) -> None:
         self.owner, self.peers, self.clock = owner, peers, clock
@@ -43,7 +43,7 @@
         The answer to a `patient` report may be delayed until there is new work.
         """
         reply: asyncio.Future[bytes | None] = asyncio.get_running_loop().create_future()
-        self.owner.put(Heard(report, reply, patient))
+        self.owner.put(ReportReceived(report, reply, patient))
         try:
             return await asyncio.wait_for(reply, c.ANSWER_S)
         except TimeoutError:
@@ -52,7 +52,7 @@
     def record_evidence(self, report: Report) -> None:
         """Record a redirected worker's report as evidence; the redirect was its answer."""
         no_reply = BatchedAnswer((report.machine, report.tenure, report.counter), [])
-        self.owner.put(Heard(report, no_reply, asked=False))
+        self.owner.put(ReportReceived(report, no_reply, expects_answer=False))
 
     async def answer_relayed(self, body: bytes) -> bytes | None:
         """Answer a report relayed by another node; None if it can't be answered."""
@@ -74,10 +74,10 @@
         except (wire.Malformed, KeyError, TypeError):
             return 400, b""
         self.arrivals.record_batch(self.clock())
-        for report in self.unreadable.readable(bodies):
+        for report in self.unreadable.decode_reports(bodies):
             key = (report.machine, report.tenure, report.counter)
-            self.owner.put(Heard(report, self.inlet.open_answer(boot, key)))
-        for report in self.unreadable.readable(redirected):
+            self.owner.put(ReportReceived(report, self.inlet.open_answer(boot, key)))
+        for report in self.unreadable.decode_reports(redirected):
             self.record_evidence(report)
         await asyncio.sleep(0)  # lets the owner process them first
         answers = self.inlet.collect(boot)
--- a/coveflow/daemon/restore.py
+++ b/coveflow/daemon/restore.py
@@ -1,81 +1,84 @@
-"""Taking the lead: the book as an earlier leader's records leave it."""
+"""Restores the leader's state from the records of the previous leader."""
 
 from __future__ import annotations
 
 from typing import Any
 
 from coveflow.core.model import Job, Machine, Placement, decode_ranges
-from coveflow.daemon.book import Book
 from coveflow.daemon.inbox import Inbox
+from coveflow.daemon.leader_state import LeaderState
 from coveflow.logs import Log
 from coveflow.state.keys import ATTEMPT_FLOOR, CHUNK, HELD, HISTORY, MACHINE
 from coveflow.state.records import CorruptRecords
 
 log = Log("coveflow.owner")
 
-# What reading a damaged record raises.
-DAMAGED = (AttributeError, IndexError, KeyError, OverflowError, TypeError, ValueError)
+# Exceptions raised when a damaged record is decoded.
+DECODE_ERRORS = (AttributeError, IndexError, KeyError, OverflowError, TypeError, ValueError)
 
 
-def restore(book: Book, inbox: Inbox, rows: list[tuple[str, Any, int]], now: float) -> int:
-    """Fill an empty book from the records; the revision of the histories (0: none).
+def restore(state: LeaderState, inbox: Inbox, rows: list[tuple[str, Any, int]], now: float) -> int:
+    """Fill an empty state from the records; returns the revision of the histories (0: none).
 
-    Raises Unreadable where the records are damaged, of another layout, or name a machine type
-    that is not known yet: a leader with a part of the state would start again what it forgot.
+    Raises Unreadable if the records are damaged, have another layout, or name a machine type that
+    is not known yet: a leader with partial state would start tasks that are already running.
     """
     try:
-        return _restore(book, inbox, rows, now)
-    except DAMAGED as error:
+        return _restore(state, inbox, rows, now)
+    except DECODE_ERRORS as error:
         raise CorruptRecords(f"{type(error).__name__}: {error}") from error
 
 
-def _restore(book: Book, inbox: Inbox, rows: list[tuple[str, Any, int]], now: float) -> int:
+def _restore(state: LeaderState, inbox: Inbox, rows: list[tuple[str, Any, int]], now: float) -> int:
     slots = [row for row in rows if row[0] != HISTORY]
-    history_rev = _histories(book, rows)
-    book.records.load(slots)
+    history_rev = _restore_histories(state, rows)
+    state.records.load(slots)
     for entry in inbox.accepted.values():
-        book.adopt(entry)
-    for item, value in book.records.values.items():
-        _progress(book, item, value)
-    # Only now: what a machine has may be of any job.
-    for item, value in book.records.values.items():
+        state.apply_accepted(entry)
+    for item, value in state.records.values.items():
+        _restore_progress(state, item, value)
+    # After all jobs, as a machine may have attempts of any of them.
+    for item, value in state.records.values.items():
         if item.startswith(MACHINE):
-            _machine(book, inbox, item[len(MACHINE) :], value, now)
-    for job in book.jobs.values():
-        _job_is_whole(book, job)
-    _stop_cancelled(book)
-    book.stop_broken_gangs()
-    book.unheard = set(book.machines)
+            _restore_machine(state, inbox, item[len(MACHINE) :], value, now)
+    for job in state.jobs.values():
+        _finalize_restored_job(state, job)
+    _stop_cancelled(state)
+    state.stop_broken_gangs()
+    state.unheard = set(state.machines)
     return history_rev
 
 
-def _histories(book: Book, rows: list[tuple[str, Any, int]]) -> int:
-    """Estimates of run times; the revision of their record."""
+def _restore_histories(state: LeaderState, rows: list[tuple[str, Any, int]]) -> int:
+    """Restore the run time histories; returns the revision of their record (0: none)."""
     for key, value, rev in rows:
         if key == HISTORY:
-            _load_histories(book, value)
+            _load_histories(state, value)
             return rev
     return 0
 
 
-def _load_histories(book: Book, value: Any) -> None:
-    """Guesses come again with the next jobs: a bad record of them must keep nobody from leading."""
+def _load_histories(state: LeaderState, value: Any) -> None:
+    """Load the histories, or start without any: a bad record must not prevent leadership.
+
+    Estimates are learned again from the next jobs.
+    """
     try:
-        book.predictor.load(value)
-    except DAMAGED as error:
-        log.error("histories can't be read", why=error)
-        book.predictor.histories.clear()
+        state.predictor.load(value)
+    except DECODE_ERRORS as error:
+        log.error("run time histories can't be decoded", why=error)
+        state.predictor.histories.clear()
 
 
-def _progress(book: Book, item: str, value: Any) -> None:
-    """One item of a job's progress; items of jobs that are over, or of machines, are passed by."""
+def _restore_progress(state: LeaderState, item: str, value: Any) -> None:
+    """Restore one item of a job's progress; skips items of finished jobs and of machines."""
     kind, rest = item[:2], item[2:]
     if kind == CHUNK:
         name, index = rest.rsplit("/", 1)
-        if name in book.jobs:
-            book.jobs[name].load_chunk(int(index), value)
+        if name in state.jobs:
+            state.jobs[name].load_chunk(int(index), value)
         return
-    job = book.jobs.get(rest)
+    job = state.jobs.get(rest)
     if job is None:
         return
     if kind == ATTEMPT_FLOOR:
@@ -84,30 +87,32 @@
         job.held, job.given_up = set(decode_ranges(value[0])), set(decode_ranges(value[1]))
 
 
-def _job_is_whole(book: Book, job: Job) -> None:
-    """Its progress and attempts are read: what may run again follows from these."""
+def _finalize_restored_job(state: LeaderState, job: Job) -> None:
+    """Derive the tasks that may be placed, once all progress and attempts are restored."""
     if job.done and job.spec.kind == "gang":
         for task in range(job.spec.tasks):
             job.mark_done(task)  # they complete together
     job.done_committed = len(job.done)
     job.recompute_pending()
-    book.fail_held(job)
+    state.fail_held(job)
     if job.is_finished:
-        book.dirty_jobs[job.id] = None
+        state.dirty_jobs[job.id] = None
 
 
-def _stop_cancelled(book: Book) -> None:
-    """Attempts of cancelled jobs end, whether the leader before had stopped them all or not.
+def _stop_cancelled(state: LeaderState) -> None:
+    """Stop all attempts of cancelled jobs, as the previous leader may not have done so.
 
-    They once ran on until their machines went back, for that alone, at 0.6 of the user's limit.
+    Otherwise they run on until their machines are returned for it, at 0.6 of the user's limit.
     """
-    for m in book.machines.values():
+    for m in state.machines.values():
         for p in m.placements.values():
-            if book.jobs[p.job].cancelled is not None:
-                book.stop(p, 0.0, "its user cancelled it")
+            if state.jobs[p.job].cancelled is not None:
+                state.stop(p, 0.0, "its user cancelled it")
 
 
-def _machine(book: Book, inbox: Inbox, name: str, value: list[Any], now: float) -> None:
+def _restore_machine(
+    state: LeaderState, inbox: Inbox, name: str, value: list[Any], now: float
+) -> None:
     owner, address, kind, zone, spot, tenure, tasks, *drained = value
     flavor = inbox.flavors.get(kind)
     if flavor is None:
@@ -117,11 +122,11 @@
     m.last_report_at = m.known_since = m.last_answered_at = now
     m.up = True
     m.drained = m.draining = bool(drained)
-    book.machines[name] = m
+    state.machines[name] = m
     for job_id, rows in tasks.items():
-        job = book.jobs.get(job_id)
+        job = state.jobs.get(job_id)
         if job is None:
-            log.error("a machine records a job that is over", machine=name, job=job_id)
+            log.error("machine record names a finished job", machine=name, job=job_id)
             continue
         for number, flat in rows:
             for task in decode_ranges(flat):
--- a/coveflow/daemon/user_jobs.py
+++ b/coveflow/daemon/user_jobs.py
@@ -14,7 +14,7 @@
 from coveflow.daemon import commands as cm
 from coveflow.daemon import owner as o
 from coveflow.daemon.comparisons import Comparisons
-from coveflow.daemon.inbox import UNREADABLE
+from coveflow.daemon.inbox import DECODE_ERRORS
 from coveflow.daemon.submissions import Submissions
 from coveflow.logs import Log
 from coveflow.net.http import Unavailable
@@ -51,9 +51,9 @@
     """The job was submitted through another interface."""
 
 
-def rider_of(found: cm.Accepted | Record) -> Any:
+def rider_of(found: cm.AcceptedJob | Record) -> Any:
     """The data that another interface stores with the job; None for a native job."""
-    return found.rider if isinstance(found, cm.Accepted) else found.get("rider")
+    return found.rider if isinstance(found, cm.AcceptedJob) else found.get("rider")
 
 
 class UserJobs:
@@ -75,7 +75,7 @@
         """`refusal` returns why a job can never run, or None."""
         self.owner, self.store = owner, store
         self.clock, self.wall, self.refusal = clock, wall, refusal
-        self.submissions = Submissions(store, txn_ops, clock, owner.around.meters)
+        self.submissions = Submissions(store, txn_ops, clock, owner.context.meters)
         self.comparisons = Comparisons(store, owner.inbox, txn_ops)
 
     # --- submissions -------------------------------------------------------------------
@@ -98,7 +98,7 @@
         record = {"spec": msgspec.to_builtins(spec), "at": self.wall()}
         started_at = self.clock()
         accepted = await self.accept(spec.id, record, (spec.team, spec.workload))
-        self.owner.around.meters.record_duration("submission committed", self.clock() - started_at)
+        self.owner.context.meters.record_duration("submission committed", self.clock() - started_at)
         if accepted:
             log.info("job accepted", job=spec.id)
             return Created(spec.id)
@@ -122,7 +122,7 @@
         found = await self.find(name)
         if found is None or rider_of(found) is not None:
             return None  # jobs of another interface are not visible here
-        if not isinstance(found, cm.Accepted):
+        if not isinstance(found, cm.AcceptedJob):
             return JobStatus(name, found["status"], found["done"])
         count = self.owner.task_counts.get(name)
         if found.cancelled is not None:
@@ -130,7 +130,7 @@
         status = "running" if count.running else "queued"
         return JobStatus(name, status, count.done, count.running)
 
-    async def find(self, name: str) -> cm.Accepted | Record | None:
+    async def find(self, name: str) -> cm.AcceptedJob | Record | None:
         """Look a job up in the store: accepted, its final record, or None if never accepted."""
         final = self.owner.inbox.terminal.get(name)
         if final is not None:
@@ -140,18 +140,18 @@
             return self._with_local_updates(name, comparison.known)
         return await self._read(name)
 
-    async def _read(self, name: str) -> cm.Accepted | Record | None:
+    async def _read(self, name: str) -> cm.AcceptedJob | Record | None:
         value, rev = await self.store.get(sk.JOB + name)
         if value is not None:
             try:
-                found = cm.accepted_of(msgspec.convert(value["spec"], Spec), value, rev)
-            except UNREADABLE:
+                found = cm.decode_accepted_job(msgspec.convert(value["spec"], Spec), value, rev)
+            except DECODE_ERRORS:
                 return self._state_of_unreadable(name, value)
             return self._with_local_updates(name, found)
         # A job moves from the active key to the final one, never back: this order misses none.
         value, _ = await self.store.get(sk.FINAL_RECORD + name)
         if value is not None:
-            self.owner.inbox.remember_terminal(name, value)
+            self.owner.inbox.cache_final_record(name, value)
         return value
 
     def _state_of_unreadable(self, name: str, value: Any) -> Record:
@@ -162,8 +162,8 @@
         return {"status": "queued", "done": 0}
 
     def _with_local_updates(
-        self, name: str, found: cm.Accepted | None
-    ) -> cm.Accepted | Record | None:
+        self, name: str, found: cm.AcceptedJob | None
+    ) -> cm.AcceptedJob | Record | None:
         """Combine the store's answer with what this node told users while it was in transit.
 
         The base is the state that was compared, not what this node knows by now: otherwise a job
@@ -190,7 +190,7 @@
         needs no announcement: all its tasks were proven to have ended before.
         """
         at = cancelled if isinstance(cancelled, int | float) else self.wall()
-        self.owner.confirm(name, at)
+        self.owner.confirm_cancellation(name, at)
 
     # --- cancellations -----------------------------------------------------------------
 
@@ -202,7 +202,7 @@
         except ForeignJob:
             return None
         found = await self.find(name)
-        if isinstance(found, cm.Accepted):
+        if isinstance(found, cm.AcceptedJob):
             # Accepted after the record was read, so the job is not cancelled: a 200 with "queued"
             # would hide that. The user repeats the request after this error.
             raise Unavailable("the job was accepted while it was being cancelled")
@@ -229,7 +229,7 @@
         if not await self._update_record(name, add_cancellation):
             return False
         # Peers must learn of the cancellation from this process before its user does.
-        self.owner.confirm(name, cancelled_at)
+        self.owner.confirm_cancellation(name, cancelled_at)
         log.info("job cancelled by its user", job=name)
         return True
 
--- a/coveflow/lab/choices.py
+++ b/coveflow/lab/choices.py
@@ -128,10 +128,10 @@
         return getattr(self.owner, name)
 
     async def apply_inbox_rows(self, rows: Any, listed: int | None) -> None:
-        self.owner.work([cm.InboxRows(rows, listed)])
+        self.owner.process_batch([cm.InboxRows(rows, listed)])
 
     def lead(self, epoch: int, rev: int, rows: Any) -> None:
-        self.owner.work([cm.Lead(epoch, rev, rows)])
+        self.owner.process_batch([cm.StartLeading(epoch, rev, rows)])
 
 
 @dataclass(eq=False)
@@ -226,10 +226,10 @@
         membership.on_store_contact = owner.cancellations.record_store_contact
         self.boots += 1
         node = Node(name, owner, membership, self.store.rev, f"process-{self.boots}")
-        owner.around.effects = lambda kind, data: self._effect(node, kind, data)
-        owner.around.answer = lambda epoch, orders: (epoch, orders)
-        owner.around.pass_s = lambda plan, measured_s: 0.0
-        owner.work([cm.InboxRows(self._rows(sk.INBOX), listed=self.store.rev)])
+        owner.context.effects = lambda kind, data: self._effect(node, kind, data)
+        owner.context.encode_answer = lambda epoch, orders: (epoch, orders)
+        owner.context.pass_duration_s = lambda plan, measured_s: 0.0
+        owner.process_batch([cm.InboxRows(self._rows(sk.INBOX), listed=self.store.rev)])
         owner.cancellations.record_store_contact(self.now)
         return node
 
@@ -249,16 +249,16 @@
             node.membership.retake = True
         elif kind == "reread":
             rows = [row for row in self._rows(sk.JOB) if row[0] in data]
-            node.owner.work([cm.InboxRows(rows)])
+            node.owner.process_batch([cm.InboxRows(rows)])
 
     async def _commit(self, node: Node, txn: cm.Txn) -> None:
         try:
             rev = await node.membership.store.commit_with_retry(
-                txn.guards, txn.writes, proof=txn.proof()
+                txn.guards, txn.writes, proof=txn.leader_only_key()
             )
-            node.owner.work([cm.Settled(txn, rev)])
+            node.owner.process_batch([cm.CommitResult(txn, rev)])
         except Conflict as conflict:
-            node.owner.work([cm.Settled(txn, None, conflict.failed)])
+            node.owner.process_batch([cm.CommitResult(txn, None, conflict.failed)])
 
     def _start(self, work: Coroutine[Op, Any, Any]) -> Call | None:
         try:
@@ -389,7 +389,7 @@
         node = self.nodes[name]
         events = self.store.events(sk.INBOX, node.seen)
         node.seen = self.store.rev
-        node.owner.work([cm.InboxRows(copy.deepcopy(events))])
+        node.owner.process_batch([cm.InboxRows(copy.deepcopy(events))])
         node.owner.cancellations.record_store_contact(self.now)
 
     def _do_word(self, name: str, other: str) -> None:
@@ -398,14 +398,14 @@
             self._do_watch(name)
             return
         asked = self.nodes[other]
-        word = cm.PeerWord(
+        word = cm.PeerCancellations(
             other, asked.process, asked.owner.cancellations.recently_confirmed(self.now), self.now
         )
-        self.nodes[name].owner.work([word])
+        self.nodes[name].owner.process_batch([word])
 
     def _do_time(self, name: str) -> None:
         self.now += STEP_S
-        self.nodes[name].owner.work([cm.Tick()])
+        self.nodes[name].owner.process_batch([cm.Tick()])
 
     def _do_long(self) -> None:
         """Longer than any lease and any patience."""
@@ -432,7 +432,7 @@
         node = self.nodes[name]
         machines, node.returns = node.returns, []
         row = self.store.get(sk.VIEW)
-        if row is not None and row.rev == node.owner.book.rev and node.owner.leading:
+        if row is not None and row.rev == node.owner.state.rev and node.owner.leading:
             node.asked += machines
 
     def _do_gone(self, name: str) -> None:
@@ -441,7 +441,7 @@
         for machine in machines:
             self.workers[machine].die(self.now)
             self.sent.pop(machine, None)
-        node.owner.work([cm.Returned(machines)])
+        node.owner.process_batch([cm.MachinesReturned(machines)])
 
     def _do_crash(self, name: str) -> None:
         node = self.nodes.pop(name)
@@ -490,7 +490,7 @@
             elif self.sent.get(name) is sent:
                 del self.sent[name]
 
-        node.owner.work([cm.Heard(sent.report, Reply(answered), False)])
+        node.owner.process_batch([cm.ReportReceived(sent.report, Reply(answered), False)])
 
     def _do_told(self, name: str) -> None:
         worker, sent = self.workers[name], self.sent.pop(name)
@@ -531,7 +531,9 @@
         sent = self.late.pop(0)
         node = self.nodes.get(sent.node)
         if node is not None:
-            node.owner.work([cm.Heard(sent.report, Reply(lambda body: None), False)])
+            node.owner.process_batch(
+                [cm.ReportReceived(sent.report, Reply(lambda body: None), False)]
+            )
 
     def _do_again(self) -> None:
         """A copy of a transaction arrives once more."""
@@ -573,22 +575,22 @@
         parts: list[Any] = [round(self.now, 3), sorted(self.left.items()), self.down]
         parts += [(k, row.value, row.rev) for k, row in self.store.list("", "", 10**6)[0]]
         for name, node in sorted(self.nodes.items()):
-            book, inbox = node.owner.book, node.owner.inbox
+            state, inbox = node.owner.state, node.owner.inbox
             known = node.owner.cancellations
             parts.append([[word.process, word.first_heard_at, word.at, word.whole]
                           for word in known.peers.values()])  # fmt: skip
             parts.append([known.store_known_until, list(known.known), list(known.confirmed)])
             parts.append([
-                name, node.seen, book.leading, book.rev, inbox.view.epoch, inbox.view.leader,
-                sorted(inbox.members), book.records.seq, list(book.dirty_machines),
-                list(book.dirty_jobs), node.returns, node.asked, book.pass_due,
+                name, node.seen, state.leading, state.rev, inbox.view.epoch, inbox.view.leader,
+                sorted(inbox.members), state.records.seq, list(state.dirty_machines),
+                list(state.dirty_jobs), node.returns, node.asked, state.pass_due,
                 round(node.owner.planning.next_pass, 3), round(node.owner.commits.next_commit, 3),
                 [[m.id, m.tenure, m.counter, m.epoch, m.up, m.returning, m.returning_for_silence,
                   sorted(m.uncommitted_ends),
                   [[*p.key, p.committed, p.stopping, p.sent_with_report, p.state]
-                   for p in m.placements.values()]] for m in book.machines.values()],
+                   for p in m.placements.values()]] for m in state.machines.values()],
                 [[j.id, sorted(j.done), list(j.pending), j.last_attempt_number, j.cancelled]
-                 for j in book.jobs.values()],
+                 for j in state.jobs.values()],
                 [[w, call.op.kind, call.op.args, call.applied, str(call.outcome)]
                  for w in ("txn", "lead") if (call := getattr(node, w)) is not None],
             ])  # fmt: skip
--- a/coveflow/lab/kills.py
+++ b/coveflow/lab/kills.py
@@ -90,7 +90,7 @@
         while True:
             if epoch:
                 tracer.end(epoch, "the next one leads")
-                told[(epoch, tracer.last[epoch])] = {"why": "the next one leads"}
+                told[(epoch, tracer.last_number[epoch])] = {"why": "the next one leads"}
             epoch += 1
             tracer.begin(epoch)
             ends = time.monotonic() + LEAD_S
@@ -98,7 +98,7 @@
                 for _ in range(int(EVENTS_S * 0.05)):
                     fields = _fields(rng)
                     tracer.emit(epoch, "placed", fields)
-                    told[(epoch, tracer.last[epoch])] = fields
+                    told[(epoch, tracer.last_number[epoch])] = fields
                 await asyncio.sleep(0.05)
 
     async def handle(request: web.BaseRequest) -> web.StreamResponse:
--- a/coveflow/lab/planted.py
+++ b/coveflow/lab/planted.py
@@ -8,10 +8,10 @@
 
 from coveflow.core.cancellations import Cancellations
 from coveflow.daemon import owner as o
-from coveflow.daemon.book import Book
-from coveflow.daemon.commands import Held
+from coveflow.daemon.commands import PendingAnswer
 from coveflow.daemon.inbox import Inbox
-from coveflow.daemon.keeper import Keeper
+from coveflow.daemon.leader_state import LeaderState
+from coveflow.daemon.machine_manager import MachineManager
 from coveflow.daemon.report_answers import ReportAnswers
 from coveflow.lab import choices as mc
 from coveflow.state import keys as sk
@@ -42,15 +42,15 @@
 
 def reused_try() -> contextlib.AbstractContextManager[None]:
     """The number of an attempt that ended is given out again."""
-    honest = Book.end
+    honest = LeaderState.end
 
-    def end(self: Book, p: Any, done: bool, why: str, saved: bool = False) -> None:
+    def end(self: LeaderState, p: Any, done: bool, why: str, saved: bool = False) -> None:
         job = self.jobs[p.job]
         floor = job.last_attempt_number
         honest(self, p, done, why, saved)
         job.last_attempt_number = floor
 
-    return _patched(Book, "end", end)
+    return _patched(LeaderState, "end", end)
 
 
 @contextlib.contextmanager
@@ -66,7 +66,7 @@
             m.uncommitted_ends = held
 
     def at_once(self: ReportAnswers, m: Any, report: Any, reply: Any, *_: Any) -> None:
-        self.answer(m, Held(report, reply, 0.0, False))
+        self.answer(m, PendingAnswer(report, reply, 0.0, False))
 
     with (
         _patched(ReportAnswers, "orders", orders),
@@ -79,9 +79,9 @@
     """A deposed leader takes the newer view's revision for its own and goes on."""
 
     def rows(self: o.Owner, command: Any) -> None:
-        self.inbox.take(command)
+        self.inbox.apply(command)
         if self.leading:
-            self.book.rev = self.inbox.view.rev
+            self.state.rev = self.inbox.view.rev
 
     return _patched(o.Owner, "_inbox_rows", rows)
 
@@ -89,13 +89,13 @@
 def doubt_as_verdict() -> contextlib.AbstractContextManager[None]:
     """What was on a machine that is silent for a while is taken for gone."""
 
-    def silent(self: Keeper, now: float) -> list[str]:
-        for m in self.book.machines.values():
+    def silent(self: MachineManager, now: float) -> list[str]:
+        for m in self.state.machines.values():
             if m.placements and now - m.last_report_at >= SILENT_S:
-                self.book.lost(m, "it is silent")
+                self.state.end_all_attempts(m, "it is silent")
         return []
 
-    return _patched(Keeper, "_silent", silent)
+    return _patched(MachineManager, "_silent", silent)
 
 
 @contextlib.contextmanager
@@ -106,7 +106,10 @@
     def boot(self: mc.Model, name: str) -> Any:
         node = honest(self, name)
         inbox = node.owner.inbox
-        node.owner.around.answer = lambda epoch, orders: (max(epoch, inbox.view.epoch), orders)
+        node.owner.context.encode_answer = lambda epoch, orders: (
+            max(epoch, inbox.view.epoch),
+            orders,
+        )
         return node
 
     with (
@@ -120,10 +123,10 @@
     """A new leader takes the old one's end for the end of all that it had started."""
     honest = o.restore
 
-    def restore(book: Book, inbox: Any, rows: Any, now: float) -> int:
-        rev = honest(book, inbox, rows, now)
-        for m in list(book.machines.values()):
-            book.lost(m, "its leader is gone")
+    def restore(state: LeaderState, inbox: Any, rows: Any, now: float) -> int:
+        rev = honest(state, inbox, rows, now)
+        for m in list(state.machines.values()):
+            state.end_all_attempts(m, "its leader is gone")
         return rev
 
     return _patched(o, "restore", restore)
@@ -132,9 +135,9 @@
 def usage_freed_early() -> contextlib.AbstractContextManager[None]:
     """What is on a silent machine does not count against its team's limit."""
 
-    def usage(self: Book) -> dict[str, tuple[float, float]]:
+    def usage(self: LeaderState) -> dict[str, tuple[float, float]]:
         used: dict[str, tuple[float, float]] = {}
-        now = self.around.clock()
+        now = self.context.clock()
         for m in self.machines.values():
             if now - m.last_report_at >= SILENT_S:
                 continue
@@ -144,7 +147,7 @@
                 used[spec.team] = (cpus + spec.cpus, acc + spec.accelerators)
         return used
 
-    return _patched(Book, "usage", usage)
+    return _patched(LeaderState, "usage", usage)
 
 
 @contextlib.contextmanager
@@ -153,7 +156,7 @@
     with (
         _patched(Inbox, "stops", lambda self, report: []),
         _patched(Inbox, "cancelled", lambda self, job: False),
-        _patched(Inbox, "told_cancelled", lambda self, jobs: None),
+        _patched(Inbox, "apply_peer_cancellations", lambda self, jobs: None),
     ):
         yield
 
--- a/coveflow/lab/scale.py
+++ b/coveflow/lab/scale.py
@@ -20,7 +20,7 @@
 
 from coveflow import wire
 from coveflow.core.model import Spec
-from coveflow.daemon.book import Book
+from coveflow.daemon.leader_state import LeaderState
 from coveflow.daemon.restore import restore
 from coveflow.lab import site as sites
 from coveflow.lab.virtual import FLEET, Place, Request, World
@@ -233,11 +233,11 @@
         for name, place in world.places.items():
             if place.node is not None:
                 cores[world.role(place)].append(spent[name] / WINDOW_S)
-        book = world.node(leader).owner.book
+        state = world.node(leader).owner.state
         return Reading(
             load=load,
-            machines=sum(book.heard_lately(m, world.now) for m in book.machines.values()),
-            running=sum(len(m.placements) for m in book.machines.values()),
+            machines=sum(state.reported_recently(m, world.now) for m in state.machines.values()),
+            running=sum(len(m.placements) for m in state.machines.values()),
             starts=sum(kind == "running" for _, kind, _ in world.told[seen:]) / WINDOW_S,
             cores={role: sum(shares) / len(shares) for role, shares in cores.items()},
             traffic={
@@ -293,11 +293,11 @@
     """Of the leader's jobs, machines, placements and records, without the accepted jobs' specs."""
     owner, rows = world.node(leader).owner, _slots(world)
     tracemalloc.start()
-    book = Book(owner.around)
-    restore(book, owner.inbox, rows, world.now)
+    state = LeaderState(owner.context)
+    restore(state, owner.inbox, rows, world.now)
     # Machines without work are on no record.
-    idle = [m for name, m in owner.book.machines.items() if name not in book.machines]
-    book.machines |= {m.id: copy.copy(m) for m in idle}
+    idle = [m for name, m in owner.state.machines.items() if name not in state.machines]
+    state.machines |= {m.id: copy.copy(m) for m in idle}
     found, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return found
--- a/coveflow/lab/virtual.py
+++ b/coveflow/lab/virtual.py
@@ -651,7 +651,7 @@
             wall=lambda: self.now + off,
         )  # fmt: skip
         place.node = node
-        node.owner.around.batch_s = lambda reports, _: self._spend(place, reports)
+        node.owner.context.batch_duration_s = lambda reports, _: self._spend(place, reports)
         place.handlers = {f"{name}:80": node.user_api.handle, f"{name}:81": node.peers.handle}
         self.places[name] = place
         self.booted.append(place)
--- a/coveflow/tes/collector.py
+++ b/coveflow/tes/collector.py
@@ -66,7 +66,7 @@
         return number < self.ledger.heads.get(node, 0)
 
     def _guards(self) -> dict[str, int]:
-        return {sk.VIEW: self.owner.book.rev}
+        return {sk.VIEW: self.owner.state.rev}
 
     async def _commit(self, guards: dict[str, int], writes: dict[str, Any]) -> int:
         """Only as the leader that began this, and within the interface's part of the budget."""
--- a/coveflow/tes/service.py
+++ b/coveflow/tes/service.py
@@ -172,7 +172,7 @@
 
     async def _known(self, name: str) -> dict[str, Any] | None:
         found = await self.jobs.find(name)
-        if isinstance(found, cm.Accepted):
+        if isinstance(found, cm.AcceptedJob):
             return found.rider or {}
         return None if found is None else found.get("rider") or {}
 
@@ -219,8 +219,8 @@
             raise NotFound
         return found, rider
 
-    def _state(self, name: str, found: cm.Accepted | dict[str, Any]) -> State:
-        if isinstance(found, cm.Accepted):
+    def _state(self, name: str, found: cm.AcceptedJob | dict[str, Any]) -> State:
+        if isinstance(found, cm.AcceptedJob):
             count = self.jobs.owner.task_counts.get(name)
             return mapping.live_state(found.cancelled is not None, count.running, count.placed)
         return mapping.final_state(found)
@@ -234,16 +234,16 @@
             return await self._shown(name, found, rider, view)
 
     async def _shown(
-        self, name: str, found: cm.Accepted | dict[str, Any], rider: dict[str, Any], view: View
+        self, name: str, found: cm.AcceptedJob | dict[str, Any], rider: dict[str, Any], view: View
     ) -> Any:
         state = self._state(name, found)
         if view == View.MINIMAL:
             return {"id": name, "state": state}
-        outcome = found.outcome if isinstance(found, cm.Accepted) else found.get("outcome") or {}
+        outcome = found.outcome if isinstance(found, cm.AcceptedJob) else found.get("outcome") or {}
         document = models.read_document(await self.read(rider["doc"]))
         logs = await self._logs(outcome)
         notes = list(rider.get("notes", ()))
-        if not isinstance(found, cm.Accepted):
+        if not isinstance(found, cm.AcceptedJob):
             if found.get("failed"):
                 notes.append(found["failed"])
             elif state == State.COMPLETE and not outcome:
@@ -389,7 +389,7 @@
             value, _ = await self.store.get(sk.FINAL_RECORD + name)
             if value is None:
                 return None
-            inbox.remember_terminal(name, value)
+            inbox.cache_final_record(name, value)
         return inbox.terminal[name]
 
     # --- tasks' own word -----------------------------------------------------------------
@@ -435,7 +435,7 @@
     async def description(self, job: str) -> dict[str, Any] | None:
         """What a machine needs to run the task: its job and document."""
         found = await self.jobs.find(job)
-        if not isinstance(found, cm.Accepted) or found.rider is None:
+        if not isinstance(found, cm.AcceptedJob) or found.rider is None:
             return None
         raw = await self.read(found.rider["doc"])
         return {"spec": msgspec.to_builtins(found.spec), "document": raw.decode()}
--- a/coveflow/tes/start.py
+++ b/coveflow/tes/start.py
@@ -63,7 +63,7 @@
         ledger, node.store, node.owner, settings.params.state.txn_ops, tes.retention_h * 3600.0,
         node.wall,
     )  # fmt: skip
-    node.owner.around.finals = ledger.finals
+    node.owner.context.final_record_rows = ledger.finals
     machines = Machines(service)
     node.user_api.extra_handlers[runner.TASK] = machines.task
     node.user_api.extra_handlers[runner.TOLD] = machines.told
--- a/coveflow/whatif/simulate.py
+++ b/coveflow/whatif/simulate.py
@@ -15,7 +15,7 @@
 
 from coveflow.core.model import Flavor, Spec
 from coveflow.core.wait_reasons import NO_LEADER, wait_reason
-from coveflow.daemon.commands import Drain, Release
+from coveflow.daemon.commands import DrainRequest, HeldTasksDecision
 from coveflow.lab.cloud import Boots, Cloud, Known
 from coveflow.lab.replies import Reply
 from coveflow.lab.store import Store
@@ -387,19 +387,19 @@
     def _drain(self, name: str, on: bool) -> None:
         leader = self.world.leader()
         if leader is not None:
-            leader.work([Drain(name, on, Reply(lambda answer: None))])
+            leader.process_batch([DrainRequest(name, on, Reply(lambda answer: None))])
 
     def _release(self, job: str, tasks: list[int], again: bool) -> None:
         leader = self.world.leader()
         if leader is not None:
-            leader.work([Release(job, tasks, again, Reply(lambda answer: None))])
+            leader.process_batch([HeldTasksDecision(job, tasks, again, Reply(lambda answer: None))])
 
     def _take_over(self, wait: float) -> None:
         world = self.world
         leader = world.leader()
         if leader is None:
             return
-        name = leader.around.settings.name
+        name = leader.context.settings.name
         others = [n for n in world.names if n != name and world.owners.get(n) is not None]
         heir = others[0] if others else name
         world.crash(name, min(BACK_S, wait / 2) if heir == name else BACK_S)
@@ -446,9 +446,9 @@
             last = self.samples[-1] if self.samples else {"used": 0.0, "waiting": {}}
             used, waiting = last["used"], last["waiting"]
         else:
-            book = leader.book
-            used = sum(m.flavor.cpus - m.cpus for m in book.machines.values())
-            for job in book.jobs.values():
+            state = leader.state
+            used = sum(m.flavor.cpus - m.cpus for m in state.machines.values())
+            for job in state.jobs.values():
                 if job.pending and job.cancelled is None:
                     waiting[job.spec.workload] += len(job.pending)
             if self.why:
@@ -456,13 +456,13 @@
         self.samples.append(sample | {"used": used, "waiting": dict(waiting)})
 
     def _reasons(self, leader: Any) -> None:
-        book, now = leader.book, self.world.now
-        machines = [m for m in book.machines.values() if book.heard_lately(m, now)]
-        usage, teams = book.usage(), leader.planning.teams
-        booting = {(b.flavor, b.zone, b.spot) for b in book.fleet.booting.values()}
-        booting |= set(book.fleet.pending_requests)
+        state, now = leader.state, self.world.now
+        machines = [m for m in state.machines.values() if state.reported_recently(m, now)]
+        usage, teams = state.usage(), leader.planning.teams
+        booting = {(b.flavor, b.zone, b.spot) for b in state.fleet.booting.values()}
+        booting |= set(state.fleet.pending_requests)
         known: dict[Any, str] = {}
-        for job in book.jobs.values():
+        for job in state.jobs.values():
             if job.cancelled is not None or (not job.pending and not job.held):
                 continue
             spec = job.spec
@@ -475,7 +475,7 @@
                 shape = job.id
             if shape not in known:
                 known[shape] = wait_reason(
-                    job, machines, teams, usage, leader.inbox.flavors, book.fleet.refused_until,
+                    job, machines, teams, usage, leader.inbox.flavors, state.fleet.refused_until,
                     booting, now,
                 )  # fmt: skip
             why = known[shape]
@@ -501,7 +501,7 @@
                 break
         leader = world.leader()
         for job in self.jobs.values():
-            known = leader.book.jobs.get(job.id) if leader is not None else None
+            known = leader.state.jobs.get(job.id) if leader is not None else None
             job.held = len(known.held) if known is not None else 0
         broken = [f"{b.rule} at {b.at:.1f} s: {b.text}" for b in world.checker.broken]
         if self.jobs:
--- a/coveflow/whatif/world.py
+++ b/coveflow/whatif/world.py
@@ -159,7 +159,7 @@
             return
         owner = self.owners.get(name)
         if owner is not None:
-            owner.work([cm.InboxRows(list(rows))])
+            owner.process_batch([cm.InboxRows(list(rows))])
 
     def rows(self, prefix: str) -> list[tuple[str, Any, int]]:
         rows, _ = self.store.list(prefix, "", 1_000_000)
@@ -183,14 +183,14 @@
 
     def boot(self, name: str) -> None:
         owner = o.Owner(self.settings_of(name), self.tuning, lambda: self.now, lambda: self.now)
-        owner.around.effects = lambda kind, data: self.effect(name, owner, kind, data)
-        owner.around.answer = lambda epoch, orders: (epoch, orders)
-        owner.around.pass_s = self.pass_s
+        owner.context.effects = lambda kind, data: self.effect(name, owner, kind, data)
+        owner.context.encode_answer = lambda epoch, orders: (epoch, orders)
+        owner.context.pass_duration_s = self.pass_s
         self.budget[name] = Rate(self._write_rps())
         self.budget[name].at = self.now
         self.owners[name] = owner
         self.booted(name, owner)
-        owner.work([cm.InboxRows(self.rows(sk.INBOX), listed=self.store.rev)])
+        owner.process_batch([cm.InboxRows(self.rows(sk.INBOX), listed=self.store.rev)])
 
     def booted(self, name: str, owner: o.Owner) -> None:
         """For those who watch or tamper with a controller."""
@@ -217,9 +217,9 @@
         new = {"epoch": value["epoch"] + 1, "leader": name, "members": [name]}
         done = self.write({sk.VIEW: new}, {sk.VIEW: rev})
         assert isinstance(done, int)
-        owner.work([
+        owner.process_batch([
             cm.InboxRows(self.rows(sk.INBOX), listed=self.store.rev),
-            cm.Lead(new["epoch"], done, self.rows(sk.LEADER_STATE)),
+            cm.StartLeading(new["epoch"], done, self.rows(sk.LEADER_STATE)),
         ])  # fmt: skip
 
     def crash(self, name: str, back_s: float = 8.0) -> None:
@@ -239,7 +239,7 @@
         leader = self.leader()
         if leader is None:
             return
-        name = leader.around.settings.name
+        name = leader.context.settings.name
         self.crash(name, back_s)
         others = [n for n in self.names if n != name]
         heir = others[0] if others else name
@@ -267,7 +267,7 @@
                 row = self.store.get(key)
                 if row is not None:
                     rows.append((key, copy.deepcopy(row.value), row.rev))
-            owner.work([cm.InboxRows(rows)])
+            owner.process_batch([cm.InboxRows(rows)])
 
     def _direct(self, name: str, owner: o.Owner, request: cm.DirectRequest) -> None:
         """A request at the machine's own address; one that hangs gets it when it goes on."""
@@ -303,7 +303,7 @@
             return
         self.direct.discard(answer.request)
         if self.owners.get(name) is owner and owner.leading == answer.request.epoch:
-            owner.work([answer])
+            owner.process_batch([answer])
 
     def _paced(self, name: str, writes: int) -> float:
         """s until this node's share of the changes allows them, as its client waits."""
@@ -326,10 +326,10 @@
         def settle() -> None:
             if self.owners.get(name) is owner:
                 if isinstance(outcome, int):
-                    owner.work([cm.Settled(txn, outcome)])
+                    owner.process_batch([cm.CommitResult(txn, outcome)])
                     self._settled(txn)
                 else:
-                    owner.work([cm.Settled(txn, None, outcome)])
+                    owner.process_batch([cm.CommitResult(txn, None, outcome)])
 
         self.at(self.network.store(), settle)
 
@@ -346,12 +346,12 @@
     def _timer(self) -> None:
         for owner in self.owners.values():
             if owner is not None and owner.leading:
-                owner.work([])
+                owner.process_batch([])
 
     def _tick(self) -> None:
         for owner in self.owners.values():
             if owner is not None:
-                owner.work([cm.Tick()])
+                owner.process_batch([cm.Tick()])
 
     def _list(self) -> None:
         leader = self.leader()
@@ -364,7 +364,7 @@
             if not more:
                 break
             after = page[-1].machine
-        leader.work([cm.CloudList(rows)])
+        leader.process_batch([cm.CloudList(rows)])
 
     # --- cloud -------------------------------------------------------------------------
 
@@ -377,9 +377,9 @@
             return
         rental = f"r-{next(self.order)}"
         machines = self.cloud.rent(rental, want.flavor, want.zone, want.spot, want.count, self.now)
-        answer = cm.Rented(want, machines) if machines else cm.Refused(want)
+        answer = cm.MachinesRented(want, machines) if machines else cm.RentRefused(want)
         self.told("rent", want=want, machines=machines)
-        self.at(self.network.cloud(), lambda: owner.work([answer]))
+        self.at(self.network.cloud(), lambda: owner.process_batch([answer]))
 
     def give_back(self, name: str, owner: o.Owner, machines: list[str], epoch: int) -> None:
         """The node asks the store whether it still leads, then the cloud."""
@@ -392,9 +392,9 @@
             later = self.cloud_down_until - self.now + self.network.cloud()
             self.at(later, lambda: self.give_back(name, owner, machines, epoch))
             return
-        machines = owner.keeper.still_returned(machines)
+        machines = owner.machine_manager.still_to_return(machines)
         self.cloud.give_back(machines, self.now)
-        self.at(self.network.cloud(), lambda: owner.work([cm.Returned(machines)]))
+        self.at(self.network.cloud(), lambda: owner.process_batch([cm.MachinesReturned(machines)]))
 
     def _rented(self, host: Host) -> None:
         if host.up < INF:
@@ -543,7 +543,7 @@
             return False
         if self.now - post.sent > 2 * self.params.workers.report_s:
             return False
-        m = leader.book.machines.get(worker.name)
+        m = leader.state.machines.get(worker.name)
         if m is None or m.returning or len(m.placements) != len(worker.tasks):
             return False
         if any(p.stopping or not p.committed or not p.state for p in m.placements.values()):
@@ -573,7 +573,7 @@
             self.at(self.network.latency(), lambda: self._redirected(post, report.counter, leader))
             return
         reply = Reply(lambda body: self._reply(post, report, sent, body))
-        owner.work([cm.Heard(report, reply)])
+        owner.process_batch([cm.ReportReceived(report, reply)])
 
     def _reply(self, post: Post, report: Report, sent: float, body: Any) -> None:
         if body is None or self.network.lost():
--- a/tests/tes_nodes.py
+++ b/tests/tes_nodes.py
@@ -119,14 +119,14 @@
         model = self.store.model
         rows = [e for e in model.events("", self.seen) if e[0].startswith(("ti/", "in/"))]
         self.ledger.apply([e for e in rows if e[0].startswith("ti/")])
-        self.owner.work([cm.InboxRows([e for e in rows if e[0].startswith("in/")])])
+        self.owner.process_batch([cm.InboxRows([e for e in rows if e[0].startswith("in/")])])
         self.seen = model.rev
         self.drain()
 
     def drain(self) -> None:
         """Work through what was put into the owner's queue."""
         while not self.owner.queue.empty():
-            self.owner.work([self.owner.queue.get_nowait()])
+            self.owner.process_batch([self.owner.queue.get_nowait()])
 
     def lead(self) -> None:
         """Write a view with this node as leader, as membership does."""
@@ -134,11 +134,11 @@
         epoch = (row.value["epoch"] if row else 0) + 1
         value = {"epoch": epoch, "leader": self.front.settings.name, "members": ["a", "b"]}
         rev = self.store.model.commit({}, {sk.VIEW: (value, None)}, 0.0)
-        self.owner.work([cm.InboxRows([(sk.VIEW, value, rev)])])
+        self.owner.process_batch([cm.InboxRows([(sk.VIEW, value, rev)])])
         rows = [
             (k, r.value, r.rev) for k, r in self.store.model.list(sk.LEADER_STATE, "", 10**6)[0]
         ]
-        self.owner.work([cm.Lead(epoch, rev, rows)])
+        self.owner.process_batch([cm.StartLeading(epoch, rev, rows)])
         assert self.owner.leading
 
     def over(self, task: str, status: str = "done", **more) -> None:
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -19,8 +19,8 @@
 from coveflow.daemon import commands as cm
 from coveflow.daemon import owner as o
 from coveflow.daemon import restore
-from coveflow.daemon.book import Book
 from coveflow.daemon.inbox import Inbox
+from coveflow.daemon.leader_state import LeaderState
 from coveflow.daemon.node import Node
 from coveflow.daemon.report_intake import ReportIntake
 from coveflow.membership import peers, report_batches
@@ -279,7 +279,7 @@
                 except (Unavailable, Conflict):
                     continue
                 while not self.owner.queue.empty():
-                    self.owner.work([self.owner.queue.get_nowait()])
+                    self.owner.process_batch([self.owner.queue.get_nowait()])
 
         asyncio.run(go())
         return list(self.owner.inbox.flavors)
@@ -295,7 +295,7 @@
     kept = TypesStore()
     kept.rev = 1
     node = TypesNode(kept, {"flavors": [TYPE]})
-    node.owner.work([cm.InboxRows([(sk.TYPES, {"types": [{"name": 7}]}, 1)])])
+    node.owner.process_batch([cm.InboxRows([(sk.TYPES, {"types": [{"name": 7}]}, 1)])])
     assert node.learn() == ["g8"] and kept.rev == 2
 
 
@@ -310,7 +310,7 @@
 def test_a_bad_record_of_types_hides_no_other_row(value):
     node = TypesNode(TypesStore())
     row = (sk.JOB + "j-1", {"spec": msgspec.to_builtins(spec("j-1")), "at": 0.0}, 8)
-    node.owner.work([cm.InboxRows([(sk.TYPES, value, 7), row])])
+    node.owner.process_batch([cm.InboxRows([(sk.TYPES, value, 7), row])])
     assert set(node.owner.inbox.accepted) == {"j-1"}
 
 
@@ -344,9 +344,9 @@
         owner.inbox.flavors["m8"] = flavor()
         rows = [(sk.VIEW, {"epoch": 1, "leader": "a", "members": ["a"]}, 1)]
         rows += [(sk.JOB + "j-2", bad, 2), (sk.JOB + "j-1", RECORD, 3)]
-        owner.work([cm.InboxRows(rows), cm.Lead(1, 1, [])])
+        owner.process_batch([cm.InboxRows(rows), cm.StartLeading(1, 1, [])])
         owner.planning.next_pass = 0.0
-        owner.work([cm.Tick()])
+        owner.process_batch([cm.Tick()])
         assert owner.leading and set(owner.inbox.accepted) == {"j-1"}, bad
 
 
@@ -371,12 +371,12 @@
 ]  # fmt: skip
 
 
-def restored(rows: list, inbox: Inbox | None = None) -> Book:
+def restored(rows: list, inbox: Inbox | None = None) -> LeaderState:
     owner = o.Owner(node_settings("a", [{"name": "blue"}]), Tuning(), lambda: 0.0, lambda: 0.0)
     there = inbox or owner.inbox
     there.flavors.setdefault("m8", flavor())
-    restore.restore(owner.book, there, rows, 0.0)
-    return owner.book
+    restore.restore(owner.state, there, rows, 0.0)
+    return owner.state
 
 
 def test_a_bad_record_of_histories_keeps_nobody_from_leading():
@@ -406,13 +406,13 @@
 def test_damaged_records_are_unreadable_and_nothing_else(rows):
     owner = o.Owner(node_settings("a", [{"name": "blue"}]), Tuning(), lambda: 0.0, lambda: 0.0)
     record = {"spec": msgspec.to_builtins(spec("j-1")), "at": 0.0}
-    owner.work([cm.InboxRows([(sk.JOB + "j-1", record, 2)])])
+    owner.process_batch([cm.InboxRows([(sk.JOB + "j-1", record, 2)])])
     with pytest.raises(CorruptRecords):
         restored(rows, owner.inbox)
     # A node that met such records leads nobody, and tries again a while later.
     owner.inbox.view = sk.View(1, "a", ["a"], 1)
-    owner.work([cm.Lead(1, 1, rows)])
-    assert not owner.leading and owner.lead_after == c.UNREADABLE_S
+    owner.process_batch([cm.StartLeading(1, 1, rows)])
+    assert not owner.leading and owner.no_lead_before == c.UNREADABLE_S
 
 
 def test_a_batch_that_cannot_be_read_is_refused():
@@ -447,7 +447,7 @@
         test_a_rental_whose_answer_cannot_be_read_may_have_been_carried_out,
     ),
     "only what is known to be unreadable is": (
-        restore, "DAMAGED", (),
+        restore, "DECODE_ERRORS", (),
         lambda: test_damaged_records_are_unreadable_and_nothing_else(DAMAGED[2]),
     ),
     "mail is not checked": (
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -9,7 +9,7 @@
 from coveflow.core import planner
 from coveflow.core.model import Order, Spec
 from coveflow.daemon.inbox import Inbox
-from coveflow.daemon.keeper import Keeper
+from coveflow.daemon.machine_manager import MachineManager
 from coveflow.daemon.owner import Owner
 from coveflow.daemon.task_counts import TaskCounts
 from coveflow.lab import rooms, worlds
@@ -305,7 +305,7 @@
 
 def test_cancelled_work_on_machines_that_hang_is_gone_in_time(monkeypatch):
     assert 0 < hung_with_cancelled_work().checker.gone_s < 40.0
-    monkeypatch.setattr(Keeper, "_silent", lambda self, now: [])
+    monkeypatch.setattr(MachineManager, "_silent", lambda self, now: [])
     with pytest.raises(AssertionError, match="ran_cancelled"):
         hung_with_cancelled_work()
 
@@ -315,7 +315,7 @@
 
 def planted_store_alone(monkeypatch) -> None:
     """What this node confirmed to users, or peers told, counts only when the store tells it."""
-    monkeypatch.setattr(Inbox, "told_cancelled", lambda self, jobs: None)
+    monkeypatch.setattr(Inbox, "apply_peer_cancellations", lambda self, jobs: None)
     monkeypatch.setattr(
         Inbox, "cancelled",
         lambda self, job: getattr(self.accepted.get(job), "cancelled", None) is not None,
@@ -371,11 +371,11 @@
 def test_a_leader_that_begins_tells_what_its_records_count(monkeypatch):
     """Polls between its beginning and its first tick were told that nothing was done."""
     assert worlds.play(worlds.rushes(31)).done_fell == 0
-    lead = Owner._lead
+    lead = Owner._start_leading
 
     def uncounted(self, command):
         lead(self, command)
         self.task_counts = TaskCounts()
 
-    monkeypatch.setattr(Owner, "_lead", uncounted)
+    monkeypatch.setattr(Owner, "_start_leading", uncounted)
     assert worlds.play(worlds.rushes(31)).done_fell > 0
--- a/tests/test_concurrent_faults.py
+++ b/tests/test_concurrent_faults.py
@@ -222,7 +222,7 @@
 
 def planted_store_alone(monkeypatch) -> None:
     """A leader uses only what it read from the store."""
-    monkeypatch.setattr(Inbox, "told_cancelled", lambda self, jobs: None)
+    monkeypatch.setattr(Inbox, "apply_peer_cancellations", lambda self, jobs: None)
     monkeypatch.setattr(
         Inbox, "cancelled",
         lambda self, job: getattr(self.accepted.get(job), "cancelled", None) is not None,
@@ -331,8 +331,8 @@
     leader = world.leader()
     world.cancel("j-000000")
     world.run(world.now + 0.3)
-    p = next(p for m in leader.book.machines.values() for p in m.placements.values())
-    leader.book.stop(p, 9.0, "its machine drains")
+    p = next(p for m in leader.state.machines.values() for p in m.placements.values())
+    leader.state.stop(p, 9.0, "its machine drains")
     assert p.grace_s == 0.0
 
 
@@ -395,8 +395,8 @@
     leader.cancellations.peers["b"] = PeerConfirmations()
     world.deaf["a"] = world.now + 3.0  # its watch is delayed, but it can write
     world.cancel(name)
-    leader.work([cm.PeerWord("b", "x", {name: world.now}, world.now)])
-    assert leader.book.jobs[name].cancelled is not None
+    leader.process_batch([cm.PeerCancellations("b", "x", {name: world.now}, world.now)])
+    assert leader.state.jobs[name].cancelled is not None
     world.run(world.now + 2.5)
     assert not failed and name not in world.over
     world.run(world.now + 3.0)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -62,7 +62,9 @@
     """Store a job; with `current` False, this node knows only an older revision of it."""
     record = {"spec": msgspec.to_builtins(spec(name)), "at": 0.0, "cancel": cancel}
     f.store.keys[sk.JOB + name] = (record, 5)
-    f.owner.work([cm.InboxRows([(sk.JOB + name, {**record, "cancel": None}, 5 if current else 4)])])
+    f.owner.process_batch(
+        [cm.InboxRows([(sk.JOB + name, {**record, "cancel": None}, 5 if current else 4)])]
+    )
 
 
 def poll_jobs(f: UserApi, names: list[str]) -> list[str]:
@@ -129,7 +131,7 @@
         assert await f.jobs.status("j-7") is None
         assert (await f.abort("j-7")).status == 404
         assert f.store.keys[sk.JOB + "j-7"] == (record, 5)
-        f.owner.inbox.remember_terminal("j-8", {"status": "done", "done": 1, "rider": {}})
+        f.owner.inbox.cache_final_record("j-8", {"status": "done", "done": 1, "rider": {}})
         assert await f.jobs.status("j-8") is None
 
     asyncio.run(go())
@@ -141,10 +143,12 @@
     store_job(f, "j-1")
     f.store.keys[sk.JOB + "j-2"] = ({"spec": {"id": 7}}, 6)
     f.owner.inbox.view = sk.View(1, "a", ["a"], 1)
-    f.owner.book.leading = 1
+    f.owner.state.leading = 1
     bad = (sk.JOB + "j-2", {"spec": {"id": 7}}, 6)
     store_job(f, "j-3")
-    f.owner.work([cm.InboxRows([bad, (sk.JOB + "j-4", f.store.keys[sk.JOB + "j-1"][0], 7)])])
+    f.owner.process_batch(
+        [cm.InboxRows([bad, (sk.JOB + "j-4", f.store.keys[sk.JOB + "j-1"][0], 7)])]
+    )
     assert f.owner.leading == 1 and set(f.owner.inbox.accepted) >= {"j-1", "j-4"}
     assert poll_jobs(f, ["j-1", "j-2", "j-3"]) == ["queued"] * 3
 
--- a/tests/test_limits_meetings.py
+++ b/tests/test_limits_meetings.py
@@ -1,7 +1,7 @@
-"""Teams at their limits, changes of the lead, gangs' ends, jobs bound to zones, overload.
+"""Combined faults: teams at their limits, changes of leader, gangs, zone-bound jobs, overload.
 
-Whole nodes in virtual time, judged by the protocol's rules. Each meeting has a planted bug that its
-checks notice.
+Whole nodes run in virtual time and are checked against the protocol's rules. Each scenario has a
+planted bug that its checks detect.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 from coveflow.core import placement, planner, preemption
 from coveflow.core.cancellations import Cancellations
 from coveflow.core.model import Job, Spec
-from coveflow.daemon.book import Book
-from coveflow.daemon.keeper import Keeper
+from coveflow.daemon.leader_state import LeaderState
+from coveflow.daemon.machine_manager import MachineManager
 from coveflow.daemon.owner import Owner
 from coveflow.lab import site as sites
 from coveflow.lab import worlds
@@ -38,17 +38,17 @@
 LIMIT = 16.0  # CPUs of each team
 TEAMS = ("blue", "guest", "gold")
 LONG_S, SHORT_S = 300.0, 4.0  # s that tasks of long and of short jobs run
-TROUBLE_S = 12.0  # s into a world at which its troubles begin
-LOOK_S = 0.1  # s between two looks at what the leader knows
-REUSE_S = 1.0  # s from a proof within which the room is used again
+TROUBLE_S = 12.0  # s of virtual time after which the faults begin
+LOOK_S = 0.1  # s between two samples of the leader's state
+REUSE_S = 1.0  # s after a proven end within which its resources are reused
 
 
 def job(name: str, **changes: Any) -> Spec:
     return spec(name, **({"team": "blue", "workload": "tally", "cpus": 1.0} | changes))
 
 
-class Scene:
-    """A world with three teams, and how long each job's tasks run."""
+class Scenario:
+    """A world with three teams and a fixed run time for each task."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         spare: int = 0,
         **more: Any,
     ) -> None:
-        """`spare`: ordinary machines in each zone that may be rented beside those that are up."""
+        """`spare`: further on-demand machines that may be rented in each zone."""
         limits = limits or {}
         text = site(SIDES, nodes, machines)
         text = text.replace(f"(ordinary {machines})", f"(ordinary {machines + spare})")
@@ -75,7 +75,7 @@
         self.samples: list[Callable[[], None]] = []
         self._sample()
 
-    def __enter__(self) -> Scene:
+    def __enter__(self) -> Scenario:
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -91,18 +91,18 @@
         self.lengths[it.id] = lengths if isinstance(lengths, list) else [lengths] * count
         self.world.at(at, lambda: self.world.submit(it, self.names[node % len(self.names)]))
 
-    def book(self) -> Book | None:
-        """Of the node that leads."""
+    def state(self) -> LeaderState | None:
+        """State of the current leader, if any."""
         name = self.world.leader()
-        return self.world.node(name).owner.book if name else None
+        return self.world.node(name).owner.state if name else None
 
-    def busy(self, jobs: set[str]) -> list[str]:
+    def machines_of(self, jobs: set[str]) -> list[str]:
         """Machines with live tasks of these jobs."""
         live = self.world.checker.live
         return sorted({row.machine for (name, _), row in live.items() if name in jobs})
 
-    def unreach(self, how: str, machines: list[str], for_s: float) -> None:
-        """They hang, can't be reached either way, or hear nothing."""
+    def disrupt(self, how: str, machines: list[str], for_s: float) -> None:
+        """Make machines hang ("hang"), unreachable ("away") or receive nothing ("deaf")."""
         fleet, now = self.world.fleet, self.world.now
         if how == "hang":
             for name in machines:
@@ -120,10 +120,10 @@
         self.world.run(until, lambda: not unfinished(self.world))
         assert not unfinished(self.world)
         self.world.checker.finish(self.world.now)
-        self.world.run(self.world.now)  # raises what broke
+        self.world.run(self.world.now)  # raises any violation
 
     def started_late(self) -> list[tuple[str, int]]:
-        """Tasks that came on a machine after their user was told that they are cancelled."""
+        """Tasks placed on a machine after their cancellation was confirmed to the user."""
         jobs = self.world.checker.jobs
         return [
             (row["job"], row["task"])
@@ -131,20 +131,20 @@
             if kind == "on" and at > jobs[row["job"]].told_at
         ]
 
-    def told(self, state: str) -> set[str]:
+    def reported(self, state: str) -> set[str]:
         return {name for name, known in self.world.checker.jobs.items() if known.told == state}
 
 
-# --- teams at their limits ---------------------------------------------------------------
+# --- teams at their limits -----------------------------------------------------------------------
 
 
-class Limits(Scene):
-    """Teams at their limits, each with long work that is cancelled and short work that waits."""
+class QuotaScenario(Scenario):
+    """Teams at their limits, each with long jobs that are cancelled and short jobs that wait."""
 
     def __init__(self, full: tuple[str, ...] = TEAMS) -> None:
         super().__init__(limits=dict.fromkeys(TEAMS, LIMIT), machines=5)
         self.full = full
-        self.idle_s = dict.fromkeys(TEAMS, 0.0)  # for which room of a team was left unused
+        self.idle_s = dict.fromkeys(TEAMS, 0.0)  # when the team last had no unused resources
         self.idle_most = 0.0
         for i, team in enumerate(TEAMS):
             long, short = job(f"j-00000{i}", team=team, tasks=10), job(f"j-00001{i}", team=team)
@@ -153,44 +153,44 @@
             self.submit(4.0, job(short.id, team=team, tasks=count), SHORT_S, i + 1)
             if team not in full:
                 self.submit(5.0, job(f"j-00002{i}", team=team, tasks=2), SHORT_S, i)
-        self.samples += [self._counted, self._reused]
+        self.samples += [self._check_usage, self._measure_unused]
         self.world.run(TROUBLE_S)
         self.long = {f"j-00000{i}" for i in range(len(TEAMS))}
 
-    def _counted(self) -> None:
-        """Every task on a machine is in the leader's book, and so in its team's usage."""
-        book = self.book()
-        if book is None:
+    def _check_usage(self) -> None:
+        """Check that every live task is in the leader's state, hence in its team's usage."""
+        state = self.state()
+        if state is None:
             return
-        usage = book.usage()
+        usage = state.usage()
         for team, (cpus, _) in self.world.checker.used.items():
             assert usage.get(team, (0.0, 0.0))[0] >= cpus, f"uncounted: {team} uses {cpus:g}"
             assert usage.get(team, (0.0, 0.0))[0] <= LIMIT
 
-    def _reused(self) -> None:
-        """How long a team has waiting tasks, room under its limit, and room on machines."""
-        book, now = self.book(), self.world.now
+    def _measure_unused(self) -> None:
+        """Measure how long a team has waiting tasks, quota and free resources on machines."""
+        state, now = self.state(), self.world.now
         for team in TEAMS:
-            if book is None or not self._could_start(book, team, now):
+            if state is None or not self._could_start(state, team, now):
                 self.idle_s[team] = now
             self.idle_most = max(self.idle_most, now - self.idle_s[team])
 
-    def _could_start(self, book: Book, team: str, now: float) -> bool:
+    def _could_start(self, state: LeaderState, team: str, now: float) -> bool:
         waits = any(
-            j.spec.team == team and j.pending and j.cancelled is None for j in book.jobs.values()
+            j.spec.team == team and j.pending and j.cancelled is None for j in state.jobs.values()
         )
-        heard = [m for m in book.machines.values() if book.heard_lately(m, now)]
+        heard = [m for m in state.machines.values() if state.reported_recently(m, now)]
         room = any(
             m.cpus >= 1.0 and not (m.returning or m.answer_receipt.excluded_from_work)
             for m in heard
         )
-        return waits and room and book.usage().get(team, (0.0, 0.0))[0] <= LIMIT - 1.0
+        return waits and room and state.usage().get(team, (0.0, 0.0))[0] <= LIMIT - 1.0
 
     def play(self, how: str, for_s: float, cancel_s: float, change: str = "end") -> float:
-        """The longest time for which freed room was left unused."""
+        """The longest time for which freed resources stayed unused."""
         world, at = self.world, TROUBLE_S
-        machines = self.busy(self.long)[:4]
-        world.at(at + 0.05, lambda: self.unreach(how, machines, for_s))
+        machines = self.machines_of(self.long)[:4]
+        world.at(at + 0.05, lambda: self.disrupt(how, machines, for_s))
         if change == "hand":
             world.at(at + 0.4, lambda: world.hand_over(world.leader()))
         else:
@@ -199,7 +199,7 @@
             node = self.names[i % len(self.names)]
             world.at(at + cancel_s, lambda name=name, node=node: world.cancel(name, node))
         self.finish(at + 150.0)
-        assert self.told("cancelled") <= self.long
+        assert self.reported("cancelled") <= self.long
         return self.idle_most
 
 
@@ -211,61 +211,61 @@
 
 
 @pytest.mark.parametrize("how, for_s, cancel_s, change, full", UNREACHED)
-def test_limits_hold_and_freed_room_is_used_though_cancelled_work_cant_be_reached(
+def test_limits_hold_and_freed_resources_are_reused_with_unreachable_cancelled_work(
     how, for_s, cancel_s, change, full
 ):
-    """Room was left unused for up to 4.3 s, until the new leader's next full cycle."""
-    with Limits(full) as scene:
-        assert scene.play(how, for_s, cancel_s, change) < REUSE_S
+    """Regression: resources stayed unused for up to 4.3 s, until the leader's next full cycle."""
+    with QuotaScenario(full) as scenario:
+        assert scenario.play(how, for_s, cancel_s, change) < REUSE_S
 
 
-def planted_usage_of_what_is_heard(monkeypatch) -> None:
-    """As if a machine that can't be asked had nothing on it."""
-    honest = Book.usage
+def planted_usage_without_silent_machines(monkeypatch) -> None:
+    """Treats machines that do not report as if nothing ran on them."""
+    original = LeaderState.usage
 
     def usage(self):
-        now, used = self.around.clock(), dict(honest(self))
+        now, used = self.context.clock(), dict(original(self))
         for m in self.machines.values():
-            for p in m.placements.values() if not self.heard_lately(m, now) else ():
+            for p in m.placements.values() if not self.reported_recently(m, now) else ():
                 job = self.jobs[p.job].spec
                 cpus, accelerators = used[job.team]
                 used[job.team] = (cpus - job.cpus, accelerators)
         return used
 
-    monkeypatch.setattr(Book, "usage", usage)
+    monkeypatch.setattr(LeaderState, "usage", usage)
 
 
-def planted_ends_of_moved_machines_wait(monkeypatch) -> None:
-    """As it was: an end in a report that gets no answer from the leader makes no pass due."""
-    honest = Book.end
+def planted_no_pass_after_unanswered_reports(monkeypatch) -> None:
+    """Earlier fault: an end in a report that the leader does not answer triggers no pass."""
+    original = LeaderState.end
 
     def end(self, *args, **more):
         due = self.pass_due
-        honest(self, *args, **more)
+        original(self, *args, **more)
         self.pass_due = due
 
-    monkeypatch.setattr(Book, "end", end)
+    monkeypatch.setattr(LeaderState, "end", end)
 
 
 @pytest.mark.parametrize(
     "plant, notices",
     [
-        (planted_usage_of_what_is_heard, "quota|uncounted"),
-        (planted_ends_of_moved_machines_wait, "unused"),
+        (planted_usage_without_silent_machines, "quota|uncounted"),
+        (planted_no_pass_after_unanswered_reports, "unused"),
     ],
     ids=lambda it: getattr(it, "__name__", ""),
 )
-def test_limits_notice_what_was_wrong(monkeypatch, plant, notices):
+def test_planted_quota_bugs_are_detected(monkeypatch, plant, notices):
     plant(monkeypatch)
-    with pytest.raises(AssertionError, match=notices), Limits(("gold",)) as scene:
-        idle_s = scene.play("deaf", 25.0, 0.2, "hand")
+    with pytest.raises(AssertionError, match=notices), QuotaScenario(("gold",)) as scenario:
+        idle_s = scenario.play("deaf", 25.0, 0.2, "hand")
         assert idle_s < REUSE_S, "unused"
 
 
-# --- the end of a gang, cut by a change of the lead ----------------------------------------
+# --- gang ends interrupted by a change of leader -------------------------------------------------
 
 GANG_S = 16.0  # s that each task of these runs
-AGAIN_S = 12.0  # s that a stop, a change of the lead and a new start may take beside the run
+RESTART_S = 12.0  # s in addition to the run for a stop, a change of leader and a restart
 KINDS: dict[str, dict[str, Any]] = {
     "gang": {"kind": "gang"},
     "saving gang": {"kind": "gang", "checkpoint_s": 4.0, "save_s": 1.0},
@@ -275,8 +275,8 @@
 }
 
 
-class Ends(Scene):
-    """One job of four tasks, each on a machine of its own, in some state when the lead changes."""
+class InterruptedEndScenario(Scenario):
+    """One job of four tasks on separate machines, in a given state when the leader changes."""
 
     def __init__(self, kind: str, image_gb: float = 1.0, run_s: float = GANG_S) -> None:
         super().__init__(machines=3)
@@ -290,20 +290,20 @@
         return sorted(t.why or "" if t.state == "exited" else t.state for t in tasks)
 
     def wait(self, *states: str) -> None:
-        """Until some task is in one of these states."""
+        """Run until some task is in one of these states."""
         world = self.world
         world.run(world.now + 60.0, lambda: not set(states).isdisjoint(self.states()))
         assert not set(states).isdisjoint(self.states()), self.states()
 
     def machines(self) -> list[str]:
-        book = self.book()
-        return sorted(p.machine for p in book.jobs[self.it.id].placed.values())
+        state = self.state()
+        return sorted(p.machine for p in state.jobs[self.it.id].placed.values())
 
     def stop(self, count: int) -> None:
-        """The leader wants that many tasks stopped in order, as for more urgent work."""
-        book = self.book()
-        for p in list(book.jobs[self.it.id].placed.values())[:count]:
-            book.stop(p, self.it.save_s + 1.0, "a test")
+        """Make the leader stop that many tasks with time to save, as for more urgent work."""
+        state = self.state()
+        for p in list(state.jobs[self.it.id].placed.values())[:count]:
+            state.stop(p, self.it.save_s + 1.0, "a test")
 
     def change(self, how: str) -> None:
         if how == "hand":
@@ -311,8 +311,10 @@
         else:
             self.end_leader(0.2 if how == "back" else 6.0)
 
-    def play(self, moment: Callable[[Ends], None], after_s: float, how: str) -> float:
-        """s from the moment until all is done, or runs again."""
+    def play(
+        self, moment: Callable[[InterruptedEndScenario], None], after_s: float, how: str
+    ) -> float:
+        """s from the moment until all tasks are done, or (for services) run again."""
         moment(self)
         world = self.world
         begun = world.now
@@ -329,72 +331,72 @@
         else:
             self.finish(begun + 90.0)
             took = world.now - begun
-            assert self.told("done") <= {self.it.id} and len(world.fleet.truth.done) == 4
+            assert self.reported("done") <= {self.it.id} and len(world.fleet.truth.done) == 4
         return took
 
 
-def pulling(scene: Ends) -> None:
-    scene.wait("pulling")
+def pulling(scenario: InterruptedEndScenario) -> None:
+    scenario.wait("pulling")
 
 
-def waiting(scene: Ends) -> None:
-    """One task's machine fetches slowly: the others of a gang wait for it."""
-    scene.wait("pulling")
-    scene.world.fleet.workers[scene.machines()[0]].fetch_rate /= 3.0
-    scene.wait("waiting" if scene.it.kind == "gang" else "running")
+def waiting(scenario: InterruptedEndScenario) -> None:
+    """One machine fetches its image slowly, so the other tasks of a gang wait."""
+    scenario.wait("pulling")
+    scenario.world.fleet.workers[scenario.machines()[0]].fetch_rate /= 3.0
+    scenario.wait("waiting" if scenario.it.kind == "gang" else "running")
 
 
-def waiting_one_lost(scene: Ends) -> None:
-    """The task that the others wait for is gone with its machine's session."""
-    waiting(scene)
-    name = scene.machines()[0]
-    scene.world.fleet.restart(name, scene.world.fleet.workers[name].tenure + 1)
-    job = scene.book().jobs[scene.it.id]
-    scene.world.run(scene.world.now + 5.0, lambda: len(job.placed) < 4)
+def waiting_one_lost(scenario: InterruptedEndScenario) -> None:
+    """The task that the others wait for is lost when its machine's session ends."""
+    waiting(scenario)
+    name = scenario.machines()[0]
+    scenario.world.fleet.restart(name, scenario.world.fleet.workers[name].tenure + 1)
+    job = scenario.state().jobs[scenario.it.id]
+    scenario.world.run(scenario.world.now + 5.0, lambda: len(job.placed) < 4)
 
 
-def running(scene: Ends) -> None:
-    scene.wait("running")
+def running(scenario: InterruptedEndScenario) -> None:
+    scenario.wait("running")
 
 
-def stopped(scene: Ends) -> None:
-    scene.wait("running")
-    scene.world.run(scene.world.now + 6.0)
-    scene.stop(4)
+def stopped(scenario: InterruptedEndScenario) -> None:
+    scenario.wait("running")
+    scenario.world.run(scenario.world.now + 6.0)
+    scenario.stop(4)
 
 
-def stopping_some(scene: Ends) -> None:
-    """Only half of the tasks were to be told yet."""
-    scene.wait("running")
-    scene.world.run(scene.world.now + 6.0)
-    scene.stop(2)
+def stopping_some(scenario: InterruptedEndScenario) -> None:
+    """Only half of the tasks have been stopped so far."""
+    scenario.wait("running")
+    scenario.world.run(scenario.world.now + 6.0)
+    scenario.stop(2)
 
 
-def flushing(scene: Ends) -> None:
-    stopped(scene)
-    scene.wait("flushing" if scene.it.checkpoint_s else "halted")
+def flushing(scenario: InterruptedEndScenario) -> None:
+    stopped(scenario)
+    scenario.wait("flushing" if scenario.it.checkpoint_s else "halted")
 
 
-def saved(scene: Ends) -> None:
-    stopped(scene)
-    scene.wait("halted")
+def saved(scenario: InterruptedEndScenario) -> None:
+    stopped(scenario)
+    scenario.wait("halted")
 
 
-def done(scene: Ends) -> None:
-    scene.wait("done")
+def done(scenario: InterruptedEndScenario) -> None:
+    scenario.wait("done")
 
 
-def a_machine_ends(scene: Ends) -> None:
-    scene.wait("running")
-    scene.world.run(scene.world.now + 3.0)
-    fleet = scene.world.fleet
-    fleet.cloud.fail(scene.machines()[0], scene.world.now)
+def machine_failure(scenario: InterruptedEndScenario) -> None:
+    scenario.wait("running")
+    scenario.world.run(scenario.world.now + 3.0)
+    fleet = scenario.world.fleet
+    fleet.cloud.fail(scenario.machines()[0], scenario.world.now)
 
 
-def mates_gone(scene: Ends) -> None:
-    a_machine_ends(scene)
-    if scene.it.kind == "gang":
-        scene.wait("mates_gone")
+def mates_gone(scenario: InterruptedEndScenario) -> None:
+    machine_failure(scenario)
+    if scenario.it.kind == "gang":
+        scenario.wait("mates_gone")
 
 
 MOMENTS = [
@@ -402,11 +404,11 @@
     mates_gone,
 ]  # fmt: skip
 
-# What may take as long beside the run: a machine that ends is only proven gone after its lease.
-BESIDE_S = {mates_gone: 30.0}
+# Additional time beyond the run: a failed machine is proven gone only after its lease.
+EXTRA_S = {mates_gone: 30.0}
 CHANGES = ("end", "hand", "back")
 AFTER_S = (0.0, 0.2, 0.7, 1.5)
-CUT_ENDS = [
+END_CASES = [
     (kind, moment, AFTER_S[(i + j) % 4], CHANGES[(i + j) % 3])
     for i, kind in enumerate(KINDS)
     for j, moment in enumerate(MOMENTS)
@@ -414,46 +416,48 @@
 ]
 
 
-@pytest.mark.parametrize("kind, moment, after_s, how", CUT_ENDS)
-def test_an_end_cut_by_a_change_of_the_lead_comes_to_its_end(kind, moment, after_s, how):
-    with Ends(kind, image_gb=6.0) as scene:
+@pytest.mark.parametrize("kind, moment, after_s, how", END_CASES)
+def test_interrupted_ends_complete_after_a_change_of_leader(kind, moment, after_s, how):
+    with InterruptedEndScenario(kind, image_gb=6.0) as scenario:
         run_s = 0.0 if kind == "service" else GANG_S
-        assert scene.play(moment, after_s, how) < run_s + BESIDE_S.get(moment, AGAIN_S)
+        assert scenario.play(moment, after_s, how) < run_s + EXTRA_S.get(moment, RESTART_S)
 
 
-def test_a_gang_of_which_a_part_is_left_does_not_wait_for_the_rest_under_a_new_leader(monkeypatch):
-    """Its tasks waited for `gang_wait_s` for a mate whose end the old leader had committed."""
-    with Ends("gang", image_gb=6.0) as scene:
-        assert scene.play(waiting_one_lost, 0.2, "end") < GANG_S + AGAIN_S
-    monkeypatch.setattr(Book, "stop_broken_gangs", lambda self: None)
-    monkeypatch.setattr(Book, "fetched", lambda self, p: None)
-    with Ends("gang", image_gb=6.0) as scene:
-        assert scene.play(waiting_one_lost, 0.2, "end") > GANG_S + AGAIN_S
+def test_new_leader_stops_the_rest_of_a_broken_gang(monkeypatch):
+    """Its tasks would wait `gang_wait_s` for a peer whose end the old leader has committed."""
+    with InterruptedEndScenario("gang", image_gb=6.0) as scenario:
+        assert scenario.play(waiting_one_lost, 0.2, "end") < GANG_S + RESTART_S
+    monkeypatch.setattr(LeaderState, "stop_broken_gangs", lambda self: None)
+    monkeypatch.setattr(LeaderState, "image_fetched", lambda self, p: None)
+    with InterruptedEndScenario("gang", image_gb=6.0) as scenario:
+        assert scenario.play(waiting_one_lost, 0.2, "end") > GANG_S + RESTART_S
 
 
-def test_a_gang_with_a_machine_that_fetches_for_longer_than_the_others_wait_runs(monkeypatch):
-    """It began anew for ever: with the others' end its fetch was given up."""
+def test_gang_with_a_slow_image_fetch_eventually_runs(monkeypatch):
+    """Aborting the fetch when the other tasks end would restart the gang forever."""
 
     def play() -> bool:
-        with Ends("gang", image_gb=6.0) as scene:
-            scene.wait("pulling")
-            scene.world.fleet.workers[scene.machines()[0]].fetch_rate /= 8.0
-            scene.world.run(120.0)
-            return not unfinished(scene.world)
+        with InterruptedEndScenario("gang", image_gb=6.0) as scenario:
+            scenario.wait("pulling")
+            scenario.world.fleet.workers[scenario.machines()[0]].fetch_rate /= 8.0
+            scenario.world.run(120.0)
+            return not unfinished(scenario.world)
 
     assert play()
-    honest = Book.gang_ended
-    monkeypatch.setattr(Book, "gang_ended", lambda self, p, done, why="": honest(self, p, done))
+    original = LeaderState.gang_ended
+    monkeypatch.setattr(
+        LeaderState, "gang_ended", lambda self, p, done, why="": original(self, p, done)
+    )
     assert not play()
 
 
-# --- tasks of one job that end far apart ------------------------------------------------------
+# --- tasks of one job that end far apart ---------------------------------------------------------
 
 ENDS_S = [1.0, 14.0, 33.0]
 
 
-class FarApart(Scene):
-    """Jobs of two and three tasks; the lead changes between the ends of each."""
+class DistantEndsScenario(Scenario):
+    """Jobs of two and three tasks with changes of leader between their ends."""
 
     def __init__(self, count: int) -> None:
         super().__init__(nodes=3)
@@ -473,28 +477,31 @@
         self.world.run(40.0)
         self.finish(90.0)
         self.world.run(self.world.now + 8.0)
-        assert len(self.told("done")) == 8
+        assert len(self.reported("done")) == 8
         on = [row for _, kind, row in self.world.told if kind == "on"]
         assert len(on) == len({(row["job"], row["task"]) for row in on}) == 20, "begun again"
 
 
 @pytest.mark.parametrize("changes", [1, 3, 6])
-def test_tasks_that_end_far_apart_run_once_each_however_often_the_lead_changes(changes):
-    with FarApart(changes) as scene:
-        scene.play()
+def test_tasks_run_once_across_repeated_changes_of_leader(changes):
+    with DistantEndsScenario(changes) as scenario:
+        scenario.play()
 
 
-def test_far_ends_notice_a_leader_that_forgets_what_is_done(monkeypatch):
+def test_leader_that_forgets_done_tasks_is_detected(monkeypatch):
     monkeypatch.setattr(Job, "load_chunk", lambda self, index, text: None)
-    with pytest.raises(AssertionError, match=r"begun again|not_done"), FarApart(3) as scene:
-        scene.play()
+    with (
+        pytest.raises(AssertionError, match=r"begun again|not_done"),
+        DistantEndsScenario(3) as scenario,
+    ):
+        scenario.play()
 
 
-# --- cancellations while one controller's work changes hands ----------------------------------
+# --- cancellations during a change of leader -----------------------------------------------------
 
 
-class Handing(Scene):
-    """Long jobs of every sort are cancelled at one step of a change of the lead."""
+class TakeoverScenario(Scenario):
+    """Long jobs of every kind are cancelled at one step of a change of leader."""
 
     STEPS = ("decided", "written", "reading", "read", "restored")
 
@@ -504,14 +511,14 @@
         self.jobs = [f"j-00000{i}" for i in range(5)]
         for name, changes in zip(self.jobs, KINDS.values(), strict=True):
             self.submit(3.0, job(name, tasks=3, **changes), LONG_S)
-        # One whose starts are on their way when the lead changes.
+        # A job whose starts are in flight when the leader changes.
         self.jobs.append("j-000009")
         self.submit(TROUBLE_S - 0.12, job("j-000009", tasks=6), LONG_S, 1)
         self._hook(patch)
 
     def _hook(self, patch: pytest.MonkeyPatch) -> None:
         take, commit, read = Membership._take_over, Store.commit_with_retry, Store.list
-        lead = Owner._lead
+        lead = Owner._start_leading
 
         async def taking(membership: Membership) -> int:
             self._at("decided", membership.settings.name)
@@ -540,24 +547,24 @@
         patch.setattr(Membership, "_take_over", taking)
         patch.setattr(Store, "commit_with_retry", committing)
         patch.setattr(Store, "list", reading)
-        patch.setattr(Owner, "_lead", leading)
+        patch.setattr(Owner, "_start_leading", leading)
 
-    def _at(self, step: str, heir: str = "") -> None:
+    def _at(self, step: str, successor: str = "") -> None:
         if not self.old:
             return
-        self.heir = heir or self.heir
+        self.successor = successor or self.successor
         if step == self.step:
             self.step = ""
             self.world.at(self.world.now + self.late_s, self._cancel)
 
     def _cancel(self) -> None:
-        third = next(n for n in self.names if n not in (self.old, self.heir))
-        node = {"old": self.old, "heir": self.heir, "third": third}[self.who]
+        third = next(n for n in self.names if n not in (self.old, self.successor))
+        node = {"old": self.old, "successor": self.successor, "third": third}[self.who]
         for name in self.jobs:
             self.world.cancel(name, node)
 
     def play(self, how: str) -> float:
-        """The longest time from a user's answer until a cancelled task was gone."""
+        """The longest time from the confirmation to a user until a cancelled task is gone."""
         world = self.world
         world.run(TROUBLE_S)
         self.old = world.leader()
@@ -568,57 +575,60 @@
         world.run(TROUBLE_S + 6.0)
         assert not self.step, "the step did not come"
         self.finish(TROUBLE_S + 30.0)
-        assert self.told("cancelled") == set(self.jobs) and not world.checker.live
+        assert self.reported("cancelled") == set(self.jobs) and not world.checker.live
         assert not self.started_late(), "started after its cancellation was confirmed"
         return world.checker.gone_s
 
 
-HANDINGS = [
+TAKEOVER_CASES = [
     (step, late_s, who, how)
-    for i, step in enumerate(Handing.STEPS)
-    for j, who in enumerate(("old", "heir", "third"))
+    for i, step in enumerate(TakeoverScenario.STEPS)
+    for j, who in enumerate(("old", "successor", "third"))
     for late_s, how in [((0.0, 0.005, 0.02)[(i + j) % 3], ("hand", "end")[(i + j) % 2])]
 ]
 
 
-@pytest.mark.parametrize("step, late_s, who, how", HANDINGS)
-def test_what_is_cancelled_while_the_lead_changes_hands_is_gone_within_seconds(
+@pytest.mark.parametrize("step, late_s, who, how", TAKEOVER_CASES)
+def test_cancellation_during_a_takeover_takes_effect_within_seconds(
     monkeypatch, step, late_s, who, how
 ):
-    with Handing(step, late_s, who, monkeypatch) as scene:
-        assert scene.play(how) < 4.0
+    with TakeoverScenario(step, late_s, who, monkeypatch) as scenario:
+        assert scenario.play(how) < 4.0
 
 
 @pytest.mark.parametrize("step", ["reading", "read"])
-def test_handing_notices_a_leader_that_misses_what_is_cancelled_meanwhile(monkeypatch, step):
-    """As if only what was cancelled before it took over counted."""
-    honest = Book.adopt
+def test_leader_that_misses_cancellations_is_detected(monkeypatch, step):
+    """Ignores cancellations after the start of the takeover."""
+    original = LeaderState.apply_accepted
 
     def adopt(self, entry):
         known = entry.cancelled is not None and entry.cancelled >= TROUBLE_S
-        honest(self, structs.replace(entry, cancelled=None) if known else entry)
+        original(self, structs.replace(entry, cancelled=None) if known else entry)
 
-    monkeypatch.setattr(Book, "adopt", adopt)
-    with pytest.raises(AssertionError), Handing(step, 0.0, "third", monkeypatch) as scene:
-        assert scene.play("hand") < 4.0
+    monkeypatch.setattr(LeaderState, "apply_accepted", adopt)
+    with (
+        pytest.raises(AssertionError),
+        TakeoverScenario(step, 0.0, "third", monkeypatch) as scenario,
+    ):
+        assert scenario.play("hand") < 4.0
 
 
-# --- jobs bound to one zone -------------------------------------------------------------------
+# --- jobs bound to one zone ----------------------------------------------------------------------
 
-BESIDE_ROOM_S = 10.0  # s that a job may wait beside room that fits; the operators allow 90
+WAIT_LIMIT_S = 10.0  # s a job may wait while fitting resources are free; operators allow 90
 
 
-class Bound(Scene):
-    """Jobs bound to one zone lose machines there; other work fills what they leave."""
+class ZoneBoundScenario(Scenario):
+    """Jobs bound to one zone lose machines there, while other jobs fill the freed resources."""
 
     def __init__(self, trouble: str) -> None:
         super().__init__(nodes=3, machines=5, spare=2)
         self.trouble = trouble
-        self.since: dict[str, float] = {}  # since when a job waits beside room that fits
+        self.since: dict[str, float] = {}  # since when a job waits while fitting resources are free
         self.waited_s = 0.0
         self.submit(3.0, job("j-000000", tasks=24, zone="north"), SHORT_S)
         self.submit(3.5, job("j-000001", tasks=12, zone="south"), LONG_S / 3)
-        # It goes to the south, where there is more room now, and has more tasks than that has.
+        # Placed in the south, which has more room now, but fewer slots than the job has tasks.
         self.submit(4.0, job("j-000002", tasks=36, one_zone=True, deadline_s=250.0), LONG_S / 3)
         self.submit(5.0, job("j-000003", tasks=6, spread=True), LONG_S / 6, 1)
         gang = {"kind": "gang", "tasks": 2, "cpus": 4.0, "one_zone": True}
@@ -630,10 +640,10 @@
         self.samples.append(self._look)
 
     def _look(self) -> None:
-        book, now = self.book(), self.world.now
-        waiting = set() if book is None else {
-            j.id for j in book.jobs.values()
-            if j.cancelled is None and j.pending and j.not_before <= now and self._fits(book, j, now)
+        state, now = self.state(), self.world.now
+        waiting = set() if state is None else {
+            j.id for j in state.jobs.values()
+            if j.cancelled is None and j.pending and j.not_before <= now and self._fits(state, j, now)
         }  # fmt: skip
         for name in set(self.since) - waiting:
             del self.since[name]
@@ -641,16 +651,18 @@
             self.since.setdefault(name, now)
             self.waited_s = max(self.waited_s, now - self.since[name])
 
-    def _fits(self, book: Book, it: Job, now: float) -> bool:
-        """Whether enough machines that may take it have room, all in one zone if it asks so."""
+    def _fits(self, state: LeaderState, it: Job, now: float) -> bool:
+        """Whether enough eligible machines have room, in one zone if the job requires that."""
         spec = it.spec
         need = spec.tasks if spec.kind == "gang" else 1
         if spec.kind == "gang" and it.placed:
             return False
-        used = [book.machines[p.machine].zone for p in it.placed.values()]
+        used = [state.machines[p.machine].zone for p in it.placed.values()]
         rooms = dict.fromkeys(SIDES, 0)
-        for m in book.machines.values():
-            usable = book.heard_lately(m, now) and not (m.returning or m.draining or m.suspect)
+        for m in state.machines.values():
+            usable = state.reported_recently(m, now) and not (
+                m.returning or m.draining or m.suspect
+            )
             if (
                 usable
                 and not m.answer_receipt.excluded_from_work
@@ -693,34 +705,34 @@
         return dict.fromkeys(self.world.fleet.cloud.capacity, 0)
 
 
-ZONES_LOST = ("no room elsewhere", "no controller", "cut 30 s", "cut 60 s")
+ZONE_FAULTS = ("no room elsewhere", "no controller", "cut 30 s", "cut 60 s")
 
 
-@pytest.mark.parametrize("trouble", ZONES_LOST)
-def test_no_job_waits_beside_room_that_fits_when_jobs_bound_to_a_zone_lose_machines(trouble):
-    with Bound(trouble) as scene:
-        assert scene.play() < BESIDE_ROOM_S
+@pytest.mark.parametrize("trouble", ZONE_FAULTS)
+def test_no_job_waits_for_free_resources_when_a_zone_loses_machines(trouble):
+    with ZoneBoundScenario(trouble) as scenario:
+        assert scenario.play() < WAIT_LIMIT_S
 
 
-def test_bound_jobs_that_hold_room_they_may_not_use_are_noticed(monkeypatch):
+def test_reservations_in_forbidden_zones_are_detected(monkeypatch):
     for module in (placement, planner, preemption):
         monkeypatch.setattr(
             module, "zone_limits", lambda spec, zones, there, most: dict.fromkeys(there, most)
         )
-    with Bound("no room elsewhere") as scene:
-        scene.world.run(200.0)
-        assert scene.waited_s > 5 * BESIDE_ROOM_S
+    with ZoneBoundScenario("no room elsewhere") as scenario:
+        scenario.world.run(200.0)
+        assert scenario.waited_s > 5 * WAIT_LIMIT_S
 
 
-# --- more work than room, over slow links -------------------------------------------------------
+# --- more work than room, over slow links --------------------------------------------------------
 
-SLOW = (0.1, 0.4)  # s that each message takes
-ANSWER_S = 5.0  # s a user waits for an answer
-TOLD_S = 3.0  # s from a job's last end until its user expects to be told
+SLOW = (0.1, 0.4)  # s, minimum and maximum latency of a message
+ANSWER_S = 5.0  # s within which a user expects an answer
+RESULT_S = 3.0  # s after a job's last end within which its user expects the result
 
 
-class Overload(Scene):
-    """Three times the work that fits, urgent and not, where each message takes its time."""
+class OverloadScenario(Scenario):
+    """Three times the work that fits, of mixed urgency, over links with high latency."""
 
     def __init__(self, latency: tuple[float, float] = SLOW, change: bool = False) -> None:
         super().__init__(nodes=3, machines=4, latency=latency)
@@ -754,7 +766,7 @@
             self.final.setdefault(key.removeprefix(sk.FINAL_RECORD), world.now)
 
     def play(self) -> tuple[float, float]:
-        """The time from an end to its record, of nine in ten; the longest to a cancellation."""
+        """The 90th percentile from a job's end to its record, and the slowest cancellation."""
         world = self.world
         world.run(70.0)
         self.finish(400.0)
@@ -762,39 +774,37 @@
         jobs = world.checker.jobs
         answers = [jobs[name].told_at - at for name, at in self.asked.items()]
         ends = [self.final[name] - at for name, at in self.ended.items() if name not in self.asked]
-        assert len(ends) >= 30 and len(self.told("cancelled")) >= 4
-        assert max(ends) < 2 * TOLD_S and not self.started_late()
+        assert len(ends) >= 30 and len(self.reported("cancelled")) >= 4
+        assert max(ends) < 2 * RESULT_S and not self.started_late()
         return sorted(ends)[int(0.9 * len(ends))], max(a for a in answers if a < math.inf)
 
 
 @pytest.mark.parametrize(
-    "latency, change, told_s",
+    "latency, change, result_s",
     [
-        ((0.1, 0.2), True, TOLD_S), (SLOW, False, TOLD_S),
-        (SLOW, True, TOLD_S + c.HOLD_LIFE_S),  # some ends fall into the time without a leader
+        ((0.1, 0.2), True, RESULT_S), (SLOW, False, RESULT_S),
+        (SLOW, True, RESULT_S + c.HOLD_LIFE_S),  # some jobs end while there is no leader
     ],
 )  # fmt: skip
-def test_ends_and_cancellations_are_told_in_time_under_overload_and_over_slow_links(
-    latency, change, told_s
-):
-    with Overload(latency, change) as scene:
-        ends_s, answers_s = scene.play()
-        assert ends_s < told_s and answers_s < ANSWER_S
-        assert scene.world.checker.gone_s < 8.0
+def test_results_and_cancellations_are_timely_under_overload(latency, change, result_s):
+    with OverloadScenario(latency, change) as scenario:
+        ends_s, answers_s = scenario.play()
+        assert ends_s < result_s and answers_s < ANSWER_S
+        assert scenario.world.checker.gone_s < 8.0
 
 
-def test_ends_that_are_told_late_are_noticed(monkeypatch):
+def test_late_results_are_detected(monkeypatch):
     monkeypatch.setattr(c, "COMMIT_PACE_S", 8.0)
-    with pytest.raises(AssertionError), Overload() as scene:
-        ends_s, _ = scene.play()
-        assert ends_s < TOLD_S
+    with pytest.raises(AssertionError), OverloadScenario() as scenario:
+        ends_s, _ = scenario.play()
+        assert ends_s < RESULT_S
 
 
-# --- the leader ends while machines with long tasks can't be reached ---------------------------
+# --- the leader fails while machines with long tasks are unreachable -----------------------------
 
 
-class Unreached(Scene):
-    """Machines with long tasks can't be reached, or don't hear, when the leader ends."""
+class UnreachableScenario(Scenario):
+    """Machines with long tasks are unreachable, or receive nothing, when the leader fails."""
 
     def __init__(self) -> None:
         super().__init__(nodes=3, machines=5)
@@ -805,18 +815,18 @@
         self.world.run(TROUBLE_S)
 
     def play(self, how: str, for_s: float, cloud_s: float) -> int:
-        """How many starts of arrays it took beyond one for each task.
+        """The number of array task starts beyond one for each task.
 
-        A gang whose machine hangs falls apart at once, by the protocol.
+        Gangs are not counted: by the protocol a gang breaks up as soon as its machine hangs.
         """
         world, at = self.world, TROUBLE_S
         live = {row.machine for row in world.checker.live.values()}
-        world.at(at + 0.1, lambda: self.unreach(how, sorted(live)[:3], for_s))
+        world.at(at + 0.1, lambda: self.disrupt(how, sorted(live)[:3], for_s))
         world.at(at + 0.5, lambda: self.end_leader(5.0))
         world.at(at + 0.6, lambda: world.cut(cloud_s, lambda a, b: b.name == CLOUD, "refuse"))
         world.run(at + 10.0)
         self.finish(at + 200.0)
-        assert len(self.told("done")) <= 6
+        assert len(self.reported("done")) <= 6
         arrays = {n: k.spec for n, k in world.checker.jobs.items() if k.spec.kind == "array"}
         starts = sum(kind == "on" and row["job"] in arrays for _, kind, row in world.told)
         return starts - sum(spec.tasks for spec in arrays.values())
@@ -830,37 +840,35 @@
         ("deaf", 60.0, 60.0, True),
     ],
 )  # fmt: skip
-def test_long_tasks_on_machines_out_of_reach_outlive_the_leader_or_run_again(
-    how, for_s, cloud_s, again
-):
-    """Within their lease nothing is lost; beyond it all that was there runs elsewhere, once."""
-    with Unreached() as scene:
-        assert (scene.play(how, for_s, cloud_s) > 0) is again
+def test_long_tasks_on_unreachable_machines_survive_or_run_again(how, for_s, cloud_s, again):
+    """Within their lease no task is lost; beyond it all tasks there run once more elsewhere."""
+    with UnreachableScenario() as scenario:
+        assert (scenario.play(how, for_s, cloud_s) > 0) is again
 
 
-def test_a_new_leader_that_forgets_who_it_has_not_heard_is_noticed(monkeypatch):
-    honest = Keeper.tick
+def test_leader_that_drops_unheard_machines_is_detected(monkeypatch):
+    original = MachineManager.tick
 
     def tick(self, now):
-        for name in list(self.book.unheard) if now - self.book.since > 4.0 else ():
-            self.gone(name, "unheard")
-        honest(self, now)
+        for name in list(self.state.unheard) if now - self.state.since > 4.0 else ():
+            self.remove_machine(name, "unheard")
+        original(self, now)
 
-    monkeypatch.setattr(Keeper, "tick", tick)
-    with pytest.raises(AssertionError, match="ran_twice"), Unreached() as scene:
-        scene.play("away", 30.0, 0.0)
+    monkeypatch.setattr(MachineManager, "tick", tick)
+    with pytest.raises(AssertionError, match="ran_twice"), UnreachableScenario() as scenario:
+        scenario.play("away", 30.0, 0.0)
 
 
-# --- one-task jobs, four a second ---------------------------------------------------------------
+# --- one-task jobs, four a second ----------------------------------------------------------------
 
 PER_S = 4
-LOOKS_S = (60.0, 90.0, 120.0)  # when everything is counted
-GROWTH, SLACK = 1.3, 20  # times, and entries, by which a count may differ between looks
+LOOKS_S = (60.0, 90.0, 120.0)  # when entries are counted
+GROWTH, SLACK = 1.3, 20  # factor and number of entries by which a count may grow between samples
 FINAL = ("inbox.terminal",)  # a bounded cache of final records
 
 
 def count_entries(value: Any, path: str, found: Counter[str], seen: set[int]) -> None:
-    """Entries of all containers that can be reached from a node, by the path of names to them."""
+    """Count the entries of all containers reachable from a node, by attribute path."""
     if id(value) in seen:
         return
     seen.add(id(value))
@@ -878,8 +886,8 @@
                 count_entries(getattr(value, name), f"{path}.{name}", found, seen)
 
 
-class Flood(Scene):
-    """A quarter is cancelled at once or a few seconds later; users ask, at any node."""
+class JobStreamScenario(Scenario):
+    """A stream of jobs, a quarter of them cancelled within seconds; users poll any node."""
 
     def __init__(self) -> None:
         super().__init__(nodes=3, machines=3)
@@ -916,13 +924,13 @@
         return found
 
     def grown(self) -> dict[str, tuple[int, int]]:
-        """What grew from the first look to the last, but for final records."""
+        """Counts that grew from the first sample to the last, except final records."""
         looks, asked = [], []
         for at in LOOKS_S:
             self.world.run(at)
             looks.append(self.counts() | Counter(requests=self.requests - sum(asked)))
             asked.append(self.requests - sum(asked))
-        looks[0]["requests"] = asked[1]  # the first one has the beginning in it
+        looks[0]["requests"] = asked[1]  # the first interval includes the start-up
         first, last = looks[0], looks[-1]
         return {
             path: (first[path], count)
@@ -931,50 +939,52 @@
         }
 
 
-def flood(monkeypatch) -> Flood:
-    """What is kept for a time, or up to a number, is full before the first look."""
+def small_caches(monkeypatch) -> JobStreamScenario:
+    """Shrink bounded caches so that they are full before the first sample."""
     monkeypatch.setattr(c, "CANCEL_KEPT_PARTS", 0.5)
     monkeypatch.setattr(c, "REMOVED_KEPT", 40)
-    return Flood()
+    return JobStreamScenario()
 
 
-def test_nothing_but_final_records_grows_with_jobs_that_are_over(monkeypatch):
-    with flood(monkeypatch) as scene:
-        assert scene.grown() == {}
-        over = len(scene.told("done") | scene.told("cancelled"))
+def test_only_final_records_grow_with_finished_jobs(monkeypatch):
+    with small_caches(monkeypatch) as scenario:
+        assert scenario.grown() == {}
+        over = len(scenario.reported("done") | scenario.reported("cancelled"))
         assert over > 0.7 * PER_S * (LOOKS_S[-1] - 10.0)
-        assert scene.world.checker.gone_s < 6.0
-        # Runs that were in flight when another node confirmed.
-        assert len(scene.started_late()) < 0.05 * len(scene.told("cancelled"))
+        assert scenario.world.checker.gone_s < 6.0
+        # Run orders that were in flight when another node confirmed the cancellation.
+        assert len(scenario.started_late()) < 0.05 * len(scenario.reported("cancelled"))
 
 
-def test_what_grows_with_jobs_that_are_over_is_noticed(monkeypatch):
+def test_growth_with_finished_jobs_is_detected(monkeypatch):
     monkeypatch.setattr(Cancellations, "_expire", lambda self, now: None)
-    with flood(monkeypatch) as scene:
-        assert any("cancellations.known" in path for path in scene.grown())
+    with small_caches(monkeypatch) as scenario:
+        assert any("cancellations.known" in path for path in scenario.grown())
 
 
-# --- deaf machines and a change of the lead -----------------------------------------------------
+# --- machines that receive nothing and a change of leader ----------------------------------------
 
 
-def planted_deaf_are_silent(self, m, now, many_deaf) -> bool:
-    """As it was: a new leader had to see a session rise, or two answers without effect."""
-    comes = now - m.answer_receipt.reported_at < self.book.patience
+def planted_silence_of_machines_that_do_not_receive(self, m, now, many_deaf) -> bool:
+    """Earlier fault: a new leader required a new session or two answers without effect."""
+    comes = now - m.answer_receipt.reported_at < self.state.report_timeout_s
     return comes and (m.id in many_deaf or m.answer_receipt.task_limit > 0)
 
 
-def deaf_zone() -> Case:
-    """A whole zone hears nothing, and a new leader hears its reports 7 s later."""
+def zone_that_receives_nothing() -> Case:
+    """A whole zone receives nothing, and the leader fails 7 s later."""
     troubles = (Trouble(0.0, "deaf", ("zone",), 40.0), Trouble(7.0, "end", ("leader",), 8.0))
     return Case("nights", 3, "test", 3, troubles=troubles, run_s=15.0, polls=True)
 
 
-@pytest.mark.parametrize("case, before", [(worlds.nights(169), 1), (deaf_zone(), 5)])
-def test_deaf_machines_do_not_go_back_as_silent_after_a_change_of_the_lead(
-    case, before, monkeypatch
-):
-    """Their reports name the old epoch, which shows no life; they are there, and hear again."""
-    told = worlds.play(case)
-    assert (told.broken, told.returned, told.unfinished) == ("", 0, 0)
-    monkeypatch.setattr(Keeper, "_may_be_deaf", planted_deaf_are_silent)
+@pytest.mark.parametrize(
+    "case, before", [(worlds.nights(169), 1), (zone_that_receives_nothing(), 5)]
+)
+def test_machines_that_receive_nothing_are_kept_after_a_change_of_leader(case, before, monkeypatch):
+    """Their reports name the old epoch, which is no sign of life, but they recover later."""
+    result = worlds.play(case)
+    assert (result.broken, result.returned, result.unfinished) == ("", 0, 0)
+    monkeypatch.setattr(
+        MachineManager, "_may_not_receive", planted_silence_of_machines_that_do_not_receive
+    )
     assert worlds.play(case).returned == before
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -475,15 +475,15 @@
 
 
 def test_new_machines_reveal_run_orders_sent_before_their_commit(monkeypatch):
-    original = Planning._carry_out
+    original = Planning._apply_plan
 
     def mark_committed_early(self, plan, now):
         original(self, plan, now)
-        for m in self.book.machines.values():
+        for m in self.state.machines.values():
             for p in m.placements.values():
                 p.committed = True
 
-    monkeypatch.setattr(Planning, "_carry_out", mark_committed_early)
+    monkeypatch.setattr(Planning, "_apply_plan", mark_committed_early)
     with pytest.raises(AssertionError):
         leaders_crash_while_writes_lag(1000.0)
 
--- a/tests/test_nights.py
+++ b/tests/test_nights.py
@@ -5,7 +5,7 @@
 from coveflow.core import redirects
 from coveflow.core.answer_receipt import AnswerReceipt
 from coveflow.daemon.direct_requests import DirectRequests
-from coveflow.daemon.keeper import Keeper
+from coveflow.daemon.machine_manager import MachineManager
 from coveflow.daemon.user_jobs import UserJobs
 from coveflow.lab import worlds
 from coveflow.lab.cases import Case, Trouble
@@ -42,7 +42,7 @@
     monkeypatch.setattr(
         "coveflow.membership.report_batches.BatchSender.add_redirected", lambda *_: None
     )
-    monkeypatch.setattr(Keeper, "_many_deaf", lambda self: (set(), 100))
+    monkeypatch.setattr(MachineManager, "_many_not_receiving", lambda self: (set(), 100))
     assert night(cut, run_s=15.0).returned > 2
 
 
--- a/tests/test_no_repeat.py
+++ b/tests/test_no_repeat.py
@@ -10,7 +10,7 @@
 from coveflow.core import planner, planner_state
 from coveflow.core.fleet import Fleet
 from coveflow.core.model import Job, Machine
-from coveflow.daemon.commands import Release
+from coveflow.daemon.commands import HeldTasksDecision
 from coveflow.lab.replies import Reply
 from tests.samples import flavor, spec
 from tests.test_world import FAULTS, add_faults
@@ -43,10 +43,10 @@
     """Fail the first machine that runs a task of the job; return the tasks that ran there."""
     leader = world.leader()
     while not any(
-        p.running_since for p in getattr(leader.book.jobs.get(job), "placed", {}).values()
+        p.running_since for p in getattr(leader.state.jobs.get(job), "placed", {}).values()
     ):
         world.run(world.now + 0.1)
-    first = next(p for p in leader.book.jobs[job].placed.values() if p.running_since is not None)
+    first = next(p for p in leader.state.jobs[job].placed.values() if p.running_since is not None)
     worker = world.posts[first.machine].worker
     ran = {a.task for a in worker.tasks.values() if a.state == "running"}
     world.cloud.fail(first.machine, world.now)
@@ -55,7 +55,7 @@
 
 def release(world, job, again, tasks=None):
     answers = []
-    world.leader().work([Release(job, tasks, again, Reply(answers.append))])
+    world.leader().process_batch([HeldTasksDecision(job, tasks, again, Reply(answers.append))])
     world.run(world.now + 2.0)
     return answers
 
@@ -64,14 +64,14 @@
     world, runs = world_of(1, once("j-000001", tasks=12))
     ran = lose_a_machine(world)
     world.run(60.0)
-    job = world.leader().book.jobs["j-000001"]
+    job = world.leader().state.jobs["j-000001"]
     assert job.held == ran and len(job.done) == 12 - len(ran) and not job.pending
     assert "j-000001" not in world.over, "the user must still see the job as queued"
     # A new leader restores the held tasks from the records.
     world.crash("a")
     world.at(3.0, lambda: world.elect("b"))
     world.run(90.0)
-    assert world.leader().book.jobs["j-000001"].held == ran
+    assert world.leader().state.jobs["j-000001"].held == ran
     assert max(runs.values()) == 1
     assert release(world, "j-000001", True) == [
         {"job": "j-000001", "tasks": sorted(ran), "again": True}
@@ -90,7 +90,7 @@
     world.crash("a")
     world.at(3.0, lambda: world.elect("b"))
     world.run(120.0)
-    assert world.leader().book.jobs["j-000001"].given_up == ran
+    assert world.leader().state.jobs["j-000001"].given_up == ran
     assert max(runs.values()) == 1 and not world.over
     world.cancel("j-000001")
     world.run(130.0)
@@ -125,7 +125,7 @@
     assert not {key: n for key, n in runs.items() if n > 1 and key[0] != "j-000003"}
     leader = world.leader()
     for job in world.submitted:
-        known = leader.book.jobs.get(job)
+        known = leader.state.jobs.get(job)
         assert job in world.over or known.held, "only a held task may keep a job from ending"
 
 
@@ -170,7 +170,7 @@
 def test_only_the_class_is_kept_off_spot_machines():
     world, _ = world_of(3, once("j-000001", spot=True), spec("j-000002", spot=True))
     world.run(3.0)
-    jobs = world.leader().book.jobs
+    jobs = world.leader().state.jobs
     assert not jobs["j-000001"].spec.spot and jobs["j-000002"].spec.spot
 
 
@@ -191,7 +191,7 @@
 def test_a_follower_answers_none_to_a_release():
     world = World(1)
     answers = []
-    world.owners["b"].work([Release("j-1", None, True, Reply(answers.append))])
+    world.owners["b"].process_batch([HeldTasksDecision("j-1", None, True, Reply(answers.append))])
     assert answers == [None]
 
 
@@ -203,10 +203,10 @@
     while not runs:
         world.run(world.now + 0.1)
     task = next(iter(runs))[1]
-    machine = leader.book.jobs["j-000001"].placed[task].machine
+    machine = leader.state.jobs["j-000001"].placed[task].machine
     world.reborn(world.posts[machine], first)
     world.crash("a")
     world.at(world.now + 1.0, lambda: world.elect("b"))
     world.run(world.now + 60.0)
     assert max(runs.values()) == 1
-    assert task in world.leader().book.jobs["j-000001"].held
+    assert task in world.leader().state.jobs["j-000001"].held
--- a/tests/test_report_handler.py
+++ b/tests/test_report_handler.py
@@ -98,7 +98,7 @@
 
 
 def make_leader(handler, now) -> None:
-    handler.owner.book.leading = 3
+    handler.owner.state.leading = 3
     handler.owner.put = lambda command: command.reply.set_result(wire.orders_answer(3, []))
 
 
@@ -194,12 +194,14 @@
     settings = node_settings("a", [])
     owner = o.Owner(settings, o.Tuning(), lambda: 9.0, lambda: 9.0)
     old = sk.View(3, "a", ["a", "b"], 7)
-    owner.work([cm.InboxRows([(sk.VIEW, sk.encode_view(old), 7)], listed=7), cm.Lead(3, 7, [])])
+    owner.process_batch(
+        [cm.InboxRows([(sk.VIEW, sk.encode_view(old), 7)], listed=7), cm.StartLeading(3, 7, [])]
+    )
     assert owner.leading == 3
     rows = []
     peers = Peers(settings, None, lambda: 9.0, dict, None, lambda *row: rows.append(row))
     peers.apply_status(Peer(Member("b", "south", ""), None), ping_answer("b"), 8.9)
-    owner.work([cm.InboxRows([(sk.VIEW, *row)]) for row in rows])
+    owner.process_batch([cm.InboxRows([(sk.VIEW, *row)]) for row in rows])
     assert owner.leading == 0 and (owner.inbox.view.epoch, owner.inbox.view.leader) == (4, "b")
 
 
@@ -207,31 +209,31 @@
     now = SimpleNamespace(t=50.0)
     handler = follower(lambda mail: {}, lambda: now.t)
     handler.store.contact_at = 40.0
-    handler.owner.book.leading = 3
+    handler.owner.state.leading = 3
     m = Machine("n-1", "", flavor(), "north", False)
     m.counter, m.last_report_at = 5, 49.0
-    handler.owner.book.machines["n-1"] = m
+    handler.owner.state.machines["n-1"] = m
     assert handler.heard_reports() == {"n-1": (1.0, 0, 5)}
 
 
 def test_a_new_leader_waits_longer_for_unheard_machines_while_a_node_is_unreachable():
     now = SimpleNamespace(t=0.0)
     owner = o.Owner(node_settings("b", []), o.Tuning(), lambda: now.t, lambda: now.t)
-    owner.book.leading = 4
-    m = owner.book.machines["n-1"] = Machine("n-1", "", flavor(), "north", False)
+    owner.state.leading = 4
+    m = owner.state.machines["n-1"] = Machine("n-1", "", flavor(), "north", False)
     returned = []
-    owner.around.effects = lambda kind, data: returned.append((now.t, kind, data))
-    owner.around.peers_known = lambda: False
+    owner.context.effects = lambda kind, data: returned.append((now.t, kind, data))
+    owner.context.all_peers_answer = lambda: False
     for t in range(1, 60):
         now.t = float(t)
-        owner.work([cm.Tick()])
+        owner.process_batch([cm.Tick()])
     early = LEASE_S + 2.0
     assert not [r for r in returned if r[1] == "return" and r[0] <= early]
     assert [r[2] for r in returned if r[1] == "return"] == [["n-1"]]
     m.returning, returned[:], now.t = False, [], 0.0
-    owner.around.peers_known = lambda: True
+    owner.context.all_peers_answer = lambda: True
     now.t = early + 1.0
-    owner.work([cm.Tick()])
+    owner.process_batch([cm.Tick()])
     assert [r[2] for r in returned if r[1] == "return"] == [["n-1"]]
 
 
@@ -302,7 +304,7 @@
     async def take_over() -> bytes:
         waiting = asyncio.create_task(handler.handle(cbor2.dumps(REPORT)))
         await asyncio.sleep(0.01)
-        handler.owner.book.leading = 4
+        handler.owner.state.leading = 4
         answer = wire.orders_answer(4, [Order("run", "j-000001", 0, 1)])
         handler.owner.put = lambda command: command.reply.set_result(answer)
         handler.on_leadership_start()
@@ -316,7 +318,7 @@
     monkeypatch.setattr("coveflow.constants.MAIL_WAIT_S", 0.3)
     monkeypatch.setattr("coveflow.constants.MAIL_PACE_S", 0.01)
     handler = follower(lambda mail: {})
-    written, limit = [], handler.owner.around.settings.params.state.value_kb * 1024
+    written, limit = [], handler.owner.context.settings.params.state.value_kb * 1024
 
     async def commit_with_retry(guards, writes, deadline, proof):
         ((key, value),) = writes.items()
@@ -351,7 +353,7 @@
     runs, written = [Order("run", f"j-{1000 + i}", 0, 1) for i in range(400)], []
 
     def put(command) -> None:
-        if isinstance(command, cm.Heard):
+        if isinstance(command, cm.ReportReceived):
             orders = runs if command.report.machine == "n-1" else []
             command.reply.set_result(wire.orders_answer(3, orders))
 
@@ -389,16 +391,16 @@
     """Each got into a mail only every 15 s, and 110 of a zone's machines were returned."""
     now = SimpleNamespace(t=0.0)
     owner = o.Owner(node_settings("b", []), o.Tuning(), lambda: now.t, lambda: now.t)
-    owner.book.leading = 4
+    owner.state.leading = 4
     for name in ("n-1", "n-2"):
-        m = owner.book.machines[name] = Machine(name, "", flavor(), "north", False)
+        m = owner.state.machines[name] = Machine(name, "", flavor(), "north", False)
         m.counter = 3
     returned = []
-    owner.around.effects = lambda kind, data: returned.append(data)
+    owner.context.effects = lambda kind, data: returned.append(data)
     now.t = 10.0
-    owner.work([cm.Vouched(["n-1"])])
+    owner.process_batch([cm.LeasesRenewedByPeer(["n-1"])])
     now.t = LEASE_S + 2.0
-    owner.work([cm.Tick()])
+    owner.process_batch([cm.Tick()])
     assert returned == [["n-2"]]
 
 
@@ -406,7 +408,7 @@
     """A relay followed by a mail took longer than the worker's timeout."""
     now, relayed, mailed = SimpleNamespace(t=100.0), [], []
     handler = follower(lambda mail: {}, lambda: now.t)
-    handler.owner.around.tuning = o.Tuning(homes=False)
+    handler.owner.context.tuning = o.Tuning(homes=False)
 
     class Hanging:
         async def request(self, method, path, *, body, timeout_s):
@@ -436,7 +438,7 @@
     now = SimpleNamespace(t=100.0)
     handler = follower(lambda mail: {}, lambda: now.t)
     owner, heard = handler.owner, []
-    owner.book.leading = 3
+    owner.state.leading = 3
     owner.put = heard.append
     good = cbor2.dumps(REPORT)
     bad = [cbor2.dumps(REPORT | {"tenure": 0}), b"\xff", 7]
@@ -472,15 +474,15 @@
             {"piece": "j-000002/0", "try": 1, "status": "running"}]  # fmt: skip
     stops = [{"verb": "stop", "piece": "j-000001/0", "try": 1, "wind_down_s": 0.0}]
     owner.cancellations.peers["a"] = PeerConfirmations()
-    owner.work([cm.PeerWord("a", "x", {"j-000001": 90.0}, 99.0)])
+    owner.process_batch([cm.PeerCancellations("a", "x", {"j-000001": 90.0}, 99.0)])
     assert send_report(handler, counter=9, pieces=live)["orders"] == stops
     assert send_report(handler, counter=8, pieces=live)["orders"] == stops
     # Also by a leader that received a newer report, or recorded a later session.
-    m = owner.book.machines["n-1"] = Machine("n-1", "", flavor(), "north", False)
+    m = owner.state.machines["n-1"] = Machine("n-1", "", flavor(), "north", False)
     for m.tenure, m.counter in ((1, 50), (7, -1)):
-        owner.book.leading, answers = 3, []
+        owner.state.leading, answers = 3, []
         report = wire.read_report(cbor2.dumps(REPORT | {"pieces": live}))
-        owner.work([cm.Heard(report, Reply(answers.append))])
+        owner.process_batch([cm.ReportReceived(report, Reply(answers.append))])
         assert cbor2.loads(answers[0])["orders"] == stops
 
 
@@ -526,11 +528,11 @@
     caplog.clear()
     handler = follower(lambda mail: {})
     owner = handler.owner
-    owner.book.leading = 3
+    owner.state.leading = 3
     for _ in range(5):
         asyncio.run(handler.mail_reader.answer("c", value))
         handler.mailbox.deliver(value)
-        owner.work([owner.queue.get_nowait() for _ in range(owner.queue.qsize())])
+        owner.process_batch([owner.queue.get_nowait() for _ in range(owner.queue.qsize())])
     assert owner.leading == 3
     logged = [r for r in caplog.records if r.getMessage() == "reports that can't be read"]
     assert len(logged) <= 1 and not [r for r in caplog.records if r.levelname == "ERROR"]
@@ -542,6 +544,6 @@
     good = {"spec": msgspec.to_builtins(spec), "at": 1.0}
     rows = [(sk.VIEW, {"epoch": "x"}, 5), (sk.VIEW, 3, 6), (sk.JOB + "j-000008", 3, 7),
             (sk.REPLY + "b", {"boot": "x"}, 8), (sk.JOB + "j-000007", good, 9)]  # fmt: skip
-    handler.owner.around.effects = lambda kind, data: handler.mailbox.deliver(data)
-    handler.owner.work([cm.InboxRows(rows)])
+    handler.owner.context.effects = lambda kind, data: handler.mailbox.deliver(data)
+    handler.owner.process_batch([cm.InboxRows(rows)])
     assert list(inbox.accepted) == ["j-000007"] and inbox.view.epoch == 3
--- a/tests/test_riders.py
+++ b/tests/test_riders.py
@@ -50,7 +50,7 @@
     assert ran and record["status"] == "cancelled" and "allows no repeat" in record["failed"]
     assert final_state(record) == "SYSTEM_ERROR" and record["rider"] == RIDER
     world.run(world.now + 20.0)
-    assert not world.leader().book.jobs and not world.checker.broken
+    assert not world.leader().state.jobs and not world.checker.broken
 
 
 def test_a_leader_lost_right_after_the_hold_does_not_make_it_run_again():
@@ -100,7 +100,7 @@
     world.at(0.5, lambda: submit(world, spec(workload="once", tasks=1)))
     world.run(2.0)
     lose_a_machine(world)
-    job = world.leader().book.jobs["j-000001"]
+    job = world.leader().state.jobs["j-000001"]
     world.run(60.0, stop=lambda: bool(job.failed))
     world.cancel("j-000001")
     assert final_state(play(world, "j-000001")) == "CANCELED"
--- a/tests/test_shedding.py
+++ b/tests/test_shedding.py
@@ -1,4 +1,4 @@
-"""A leader full of work keeps the lead and starts what it can; a slow processor hands on."""
+"""An overloaded leader keeps leading and starts what it can; a node with a slow CPU hands over."""
 
 import logging
 import math
@@ -18,13 +18,15 @@
 from tests.samples import spec
 from tests.whole import SIDES, ZONES, Lines
 
-BUSY_AT = 6.0  # s into the world at which reports begin to cost the leader processor time
-REPORT_S = 0.05  # s that each costs; the machines send three times as many as fit
-COMMANDS = 2  # in a batch: as much of the time for a renewal as `BATCH_COMMANDS` in a real process
+BUSY_AT = 6.0  # s of virtual time after which reports cost the leader CPU time
+REPORT_S = 0.05  # s of CPU time per report; the machines send three times as many as fit
+# Commands per batch: takes the same share of the lease renewal time as `BATCH_COMMANDS` does in a
+# real process.
+COMMANDS = 2
 
 
-class FullWorld(World):
-    """Short tasks for all machines, each of whose reports costs the leader processor time."""
+class OverloadedWorld(World):
+    """Short tasks on all machines; each report costs the leader CPU time."""
 
     def __init__(self) -> None:
         text = site(SIDES, len(ZONES), 16, run_s=1.0)
@@ -38,7 +40,7 @@
         self.report_s = REPORT_S
 
     def starts(self, for_s: float) -> float:
-        """Starts a second over the next seconds."""
+        """Starts per second over the next `for_s` seconds."""
         before = self.checker.starts
         self.run(self.now + for_s)
         return (self.checker.starts - before) / for_s
@@ -48,43 +50,43 @@
 
 
 @pytest.fixture
-def full(monkeypatch):
+def overloaded_world(monkeypatch):
     monkeypatch.setattr(c, "BATCH_COMMANDS", COMMANDS)
     logger = logging.getLogger("coveflow")
     level = logger.level
     logger.setLevel(logging.INFO)
-    with FullWorld() as world:
+    with OverloadedWorld() as world:
         logger.addHandler(world.lines)
         yield world
         logger.removeHandler(world.lines)
     logger.setLevel(level)
 
 
-def test_a_leader_full_of_work_keeps_the_lead_and_its_rate(full):
-    """At 4,800 machines it lost its lease, and each successor was as late within seconds."""
-    leader = full.leader()
-    full.starts(6.0)  # what had gathered before is worked through
-    rates = [full.starts(10.0) for _ in range(6)]
+def test_overloaded_leader_keeps_leading_at_its_rate(overloaded_world):
+    """Regression: at 4,800 machines the leader lost its lease, as did each successor in seconds."""
+    leader = overloaded_world.leader()
+    overloaded_world.starts(6.0)  # works off the backlog
+    rates = [overloaded_world.starts(10.0) for _ in range(6)]
     assert min(rates) >= 0.75 * max(rates)
     assert sum(rates[3:]) >= 0.9 * sum(rates[:3])
-    assert full.leader() == leader
-    assert not full.lines.count("handing over", BUSY_AT) and not full.lines.count(
-        "taking over", BUSY_AT
-    )
-    assert full.leases_lost() == 0
-    full.report_s = 0.0
-    full.run(full.now + 2.0)
-    assert full.starts(5.0) > 2.0 * max(rates)
+    assert overloaded_world.leader() == leader
+    assert not overloaded_world.lines.count(
+        "handing over", BUSY_AT
+    ) and not overloaded_world.lines.count("taking over", BUSY_AT)
+    assert overloaded_world.leases_lost() == 0
+    overloaded_world.report_s = 0.0
+    overloaded_world.run(overloaded_world.now + 2.0)
+    assert overloaded_world.starts(5.0) > 2.0 * max(rates)
 
 
-def test_without_a_bound_on_batches_the_lead_changes_again_and_again(full, monkeypatch):
+def test_unbounded_batches_cause_repeated_takeovers(overloaded_world, monkeypatch):
     monkeypatch.setattr(c, "BATCH_COMMANDS", 1_000_000)
-    full.run(BUSY_AT + 30.0)
-    assert full.lines.count("taking over", BUSY_AT) > 2
+    overloaded_world.run(BUSY_AT + 30.0)
+    assert overloaded_world.lines.count("taking over", BUSY_AT) > 2
 
 
-def late(world: World, monkeypatch, compute_s: dict[str, float]) -> None:
-    """Timers of the leader fire late for 10 s; processors are as slow as told."""
+def delay_timers(world: World, monkeypatch, compute_s: dict[str, float]) -> None:
+    """Delay the leader's timers for 10 s; nodes take `compute_s` per computation."""
     monkeypatch.setattr(Node, "_measure_compute_time", lambda node: None)
     for name, seconds in compute_s.items():
         for _ in range(c.COMPUTE_TRIES):
@@ -96,36 +98,36 @@
     world.run(world.now + 12.0)
 
 
-def test_lateness_of_its_own_work_hands_nothing_over(full, monkeypatch):
-    late(full, monkeypatch, dict.fromkeys(ZONES, 1e-4))
-    assert not full.lines.count("handing over", BUSY_AT)
+def test_lateness_from_own_work_causes_no_handover(overloaded_world, monkeypatch):
+    delay_timers(overloaded_world, monkeypatch, dict.fromkeys(ZONES, 1e-4))
+    assert not overloaded_world.lines.count("handing over", BUSY_AT)
 
 
-def test_a_slow_processor_hands_over_though_busy(full, monkeypatch):
-    compute_s = dict.fromkeys(ZONES, 1e-4) | {full.leader(): 3e-4}
-    late(full, monkeypatch, compute_s)
-    assert full.lines.count("handing over", BUSY_AT) == 1
+def test_busy_node_with_a_slow_processor_hands_over(overloaded_world, monkeypatch):
+    compute_s = dict.fromkeys(ZONES, 1e-4) | {overloaded_world.leader(): 3e-4}
+    delay_timers(overloaded_world, monkeypatch, compute_s)
+    assert overloaded_world.lines.count("handing over", BUSY_AT) == 1
 
 
-def test_taken_for_sick_a_leader_full_of_work_hands_over(full, monkeypatch):
+def test_without_overload_detection_an_overloaded_leader_hands_over(overloaded_world, monkeypatch):
     monkeypatch.setattr(overload, "overloaded", lambda *_: False)
-    late(full, monkeypatch, dict.fromkeys(ZONES, 1e-4))
-    assert full.lines.count("handing over", BUSY_AT) >= 1
+    delay_timers(overloaded_world, monkeypatch, dict.fromkeys(ZONES, 1e-4))
+    assert overloaded_world.lines.count("handing over", BUSY_AT) >= 1
 
 
 @given(st.floats(0.0, 1.0), st.floats(1e-6, 1.0), st.floats(1e-6, 1.0))
 @settings(derandomize=True, max_examples=200, deadline=None)
-def test_a_processor_slower_than_the_others_is_never_overload(share, own_s, others_s):
-    told = overload.overloaded(share, own_s, others_s)
-    assert not told or (share >= c.BUSY_SHARE and own_s < c.SICK_TIMES * others_s)
-    # Unknown paces of older builds say nothing against it.
+def test_slow_processor_is_never_counted_as_overload(share, own_s, others_s):
+    is_overload = overload.overloaded(share, own_s, others_s)
+    assert not is_overload or (share >= c.BUSY_SHARE and own_s < c.SICK_TIMES * others_s)
+    # An unknown pace, from an older build, does not prevent it.
     assert overload.overloaded(share, 0.0, others_s) is (share >= c.BUSY_SHARE)
     assert overload.overloaded(share, own_s, 0.0) is (share >= c.BUSY_SHARE)
 
 
 @given(st.lists(st.tuples(st.floats(0.01, 5.0), st.floats(0.0, 1.0)), min_size=1, max_size=40))
 @settings(derandomize=True, max_examples=100, deadline=None)
-def test_the_busy_share_lies_between_the_least_and_the_most_of_its_time(steps):
+def test_busy_share_is_bounded_by_its_samples(steps):
     busy, now = overload.BusyShare(0.0), 0.0
     for elapsed, part in steps:
         now += elapsed
@@ -136,7 +138,7 @@
     assert math.isclose(busy.update(now + c.BUSY_FADE_S * 10.0), 1.0, abs_tol=0.01)
 
 
-def test_the_pace_of_computing_is_the_least_of_the_newest_tries():
+def test_compute_pace_is_the_minimum_of_the_latest_measurements():
     pace = overload.ComputeSpeed()
     for _ in range(c.COMPUTE_TRIES - 1):
         pace.add_sample(0.5)
@@ -148,10 +150,10 @@
     assert pace.best_s() == 0.4
 
 
-def test_a_late_leader_with_little_work_still_hands_over():
+def test_late_leader_with_little_work_hands_over():
     lateness = SlowLeaderHandover()
-    handed = [at for at in range(100) if lateness.should_hand_over(at * 0.1, 5.0, 0.01, False)]
-    assert len(handed) == 1
+    handovers = [at for at in range(100) if lateness.should_hand_over(at * 0.1, 5.0, 0.01, False)]
+    assert len(handovers) == 1
     assert not any(
         SlowLeaderHandover().should_hand_over(at * 0.1, 5.0, 0.01, True) for at in range(100)
     )
--- a/tests/test_task_counts.py
+++ b/tests/test_task_counts.py
@@ -44,7 +44,7 @@
 
 def uncommitted(owner: Owner) -> Counter[str]:
     """Per job, the number of done tasks whose end is not committed."""
-    ends = [end for ends in owner.book.ends.values() for end in ends]
+    ends = [end for ends in owner.state.ends.values() for end in ends]
     if owner.commits.in_flight is not None:
         ends += [end for _, end in owner.commits.in_flight.ends]
     return Counter(end.placement.job for end in ends if end.done)
@@ -59,7 +59,7 @@
         owner = world.node(world.leader()).owner
         waiting = uncommitted(owner)
         waited += waiting.total()
-        for name, job in owner.book.jobs.items():
+        for name, job in owner.state.jobs.items():
             found += owner.task_counts.get(name).done > len(job.done) - waiting[name]
     assert waited
     return found
@@ -71,14 +71,14 @@
 
 
 def test_ends_reported_before_the_commit_are_detected(play, monkeypatch):
-    count = Owner._count
+    count = Owner._publish_counts
 
     def count_uncommitted(self):
-        for job in self.book.jobs.values():
+        for job in self.state.jobs.values():
             job.done_committed = len(job.done)
         count(self)
 
-    monkeypatch.setattr(Owner, "_count", count_uncommitted)
+    monkeypatch.setattr(Owner, "_publish_counts", count_uncommitted)
     world, _ = play(zones={"host-0": "north"}, machines=3, run_s=3.0)
     assert reported_before_commit(world)
 
--- a/tests/test_user_consistency.py
+++ b/tests/test_user_consistency.py
@@ -268,7 +268,7 @@
         original(self, txn, *rest)
         for finished in txn.finished:
             record = txn.writes[sk.FINAL_RECORD + finished.id]
-            self.inbox.remember_terminal(finished.id, record)
+            self.inbox.cache_final_record(finished.id, record)
 
     monkeypatch.setattr(Commits, "_add_finished", add)
 
@@ -613,7 +613,9 @@
     """The store's answer was older than one that a user of this node had already received."""
     inbox_row = {"spec": msgspec.to_builtins(spec("j-1")), "at": 0.0, "cancel": None}
     f = make_front()
-    during_the_compare(f, lambda: f.owner.work([cm.InboxRows([(sk.JOB + "j-1", inbox_row, 7)])]))
+    during_the_compare(
+        f, lambda: f.owner.process_batch([cm.InboxRows([(sk.JOB + "j-1", inbox_row, 7)])])
+    )
     # Accepted here after the store answered that it is unknown.
     assert poll_jobs(f, ["j-1"]) == ["queued"]
 
@@ -621,7 +623,7 @@
         f = make_front()
         store_job(f, "j-1", current)
 
-        during_the_compare(f, lambda f=f: f.owner.inbox.remember_terminal("j-1", DONE))
+        during_the_compare(f, lambda f=f: f.owner.inbox.cache_final_record("j-1", DONE))
         assert poll_jobs(f, ["j-1"]) == ["done"]
 
         f = make_front()
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -151,9 +151,9 @@
         honest = owner.tick
 
         def impatient():
-            for m in list(owner.book.machines.values()):
+            for m in list(owner.state.machines.values()):
                 if world.now - m.last_report_at > 4.0:  # time alone stands in for a proof
-                    owner.keeper.gone(m.id, "silent")
+                    owner.machine_manager.remove_machine(m.id, "silent")
             honest()
 
         owner.tick = impatient
@@ -195,9 +195,9 @@
     add_jobs(world, [(4, 1.0, 6)])
     world.run(2.5)
     leader = world.owners["a"]
-    placed = list(leader.book.jobs["j-000000"].placed.values())
+    placed = list(leader.state.jobs["j-000000"].placed.values())
     assert len(placed) == 4
-    lost = leader.book.machines[placed[0].machine]
+    lost = leader.state.machines[placed[0].machine]
     world.posts[lost.id].worker.expire(world.now)
     world.run(6.0)
     assert all(p.stopping for p in placed if p.machine != lost.id)
@@ -208,14 +208,14 @@
     world = World(5, limit=None)
     add_jobs(world, [(12, 1.0, 0)] * 4)
     leader = world.owners["a"]
-    while not leader.book.jobs or not leader.book.jobs["j-000000"].placed:
+    while not leader.state.jobs or not leader.state.jobs["j-000000"].placed:
         world.run(world.now + 0.05)
-    first = world.posts[leader.book.jobs["j-000000"].placed[0].machine]
+    first = world.posts[leader.state.jobs["j-000000"].placed[0].machine]
     world.sick(first, 1000.0)
     world.run(60.0)
     assert set(world.over) == set(world.submitted)
     assert first not in world.workers  # it went back
-    assert not any(m.suspect for m in leader.book.machines.values())
+    assert not any(m.suspect for m in leader.state.machines.values())
 
 
 def test_a_job_that_fails_everywhere_is_blamed_and_not_the_machines():
@@ -225,9 +225,9 @@
     for post in world.workers:
         world.sick(post, 20.0)
     world.run(20.0)
-    job = world.owners["a"].book.jobs["j-000000"]
+    job = world.owners["a"].state.jobs["j-000000"]
     assert job.errors and job.not_before > 15.0
-    assert len(world.owners["a"].book.machines) >= 3
+    assert len(world.owners["a"].state.machines) >= 3
     world.run(200.0)
     assert world.ended == {"j-000000": "done"}
 
@@ -276,7 +276,7 @@
             m.uncommitted_ends = held
 
     def at_once(self, m, report, reply, *_):
-        self.answer(m, cm.Held(report, reply, 0.0, False))
+        self.answer(m, cm.PendingAnswer(report, reply, 0.0, False))
 
     monkeypatch.setattr(ReportAnswers, "orders", hasty)
     monkeypatch.setattr(ReportAnswers, "answer_or_hold", at_once)
@@ -306,7 +306,7 @@
     world.run(2.0)
     leader = world.owners["a"]
     epoch = leader.leading
-    leader.work([cm.CloudList([None])])
+    leader.process_batch([cm.CloudList([None])])
     assert leader.leading == 0
     world.run(60.0)
     assert leader.leading > epoch and world.over
@@ -320,7 +320,7 @@
     world.run(25.0)
     world.crash("a")
     world.at(3.0, lambda: world.elect("b"))
-    meters = [owner.around.meters for owner in world.owners.values() if owner is not None]
+    meters = [owner.context.meters for owner in world.owners.values() if owner is not None]
     world.run(120.0)
     assert set(world.over) == set(world.submitted)
     assert world.store.puts < 0.2 * 2 * world.checker.starts
@@ -376,7 +376,7 @@
     victim = next(p for p in world.workers if any(a.job for a in p.worker.tasks.values()))
     victim.worker.expire(world.now)
     world.run(60.0)
-    assert world.ended == {"j-000000": "done"} and not leader.book.jobs
+    assert world.ended == {"j-000000": "done"} and not leader.state.jobs
 
 
 @pytest.mark.parametrize("on", [True, False])
@@ -387,16 +387,16 @@
     answers = []
     leader = world.leader()
     # A full one: it stays until its tasks, which cannot save, are done.
-    name = max(leader.book.machines.values(), key=lambda m: len(m.placements)).id
-    leader.work([cm.Drain(name, True, Reply(answers.append))])
+    name = max(leader.state.machines.values(), key=lambda m: len(m.placements)).id
+    leader.process_batch([cm.DrainRequest(name, True, Reply(answers.append))])
     world.run(2.0)
     assert answers == [{"machine": name, "draining": True}]
     world.crash("a")
     world.at(2.0, lambda: world.elect("b"))
     world.run(4.5)
-    assert world.leader().book.machines[name].draining
+    assert world.leader().state.machines[name].draining
     if not on:
-        world.leader().work([cm.Drain(name, False, Reply(answers.append))])
+        world.leader().process_batch([cm.DrainRequest(name, False, Reply(answers.append))])
     ran = set()  # machines that later work came to
     world.observers.append(
         lambda kind, row: ran.add(row.get("machine")) if row.get("job") == "j-000009" else None
