--- a/coveflow/__main__.py
+++ b/coveflow/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m coveflow --config FILE`: what the program's own file does, installed."""
+"""Entry point of the installed package: `python -m coveflow --config FILE`."""
 
 import sys
 
--- a/coveflow/cli/jobs.py
+++ b/coveflow/cli/jobs.py
@@ -16,7 +16,7 @@
 from coveflow import wire
 from coveflow.cli.errors import UserError
 from coveflow.cli.labs import running
-from coveflow.client import Client, GaveUp, Refused
+from coveflow.client import Client, RequestRejected, RetriesExhausted
 from coveflow.daemon.operators import DRAIN, HELD, RELEASE
 
 FOLDER = click.Path(path_type=Path)
@@ -46,7 +46,7 @@
 
     try:
         return asyncio.run(run())
-    except (Refused, GaveUp) as error:
+    except (RequestRejected, RetriesExhausted) as error:
         raise UserError(str(error)) from error
 
 
@@ -99,7 +99,7 @@
 
 def _from_file(path: Path):
     try:
-        return wire.read_work(wire.pack(json.loads(path.read_text(encoding="utf-8"))))
+        return wire.read_submission(wire.pack(json.loads(path.read_text(encoding="utf-8"))))
     except OSError as error:
         raise UserError(f"{path}: {error.strerror}") from error
     except (ValueError, wire.Malformed) as error:
@@ -136,7 +136,7 @@
                 return answer
             failed = failed + 1 if answer is None else 0
             if failed > 30:
-                raise GaveUp(f"{job}: no answer; is a controller up?")
+                raise RetriesExhausted(f"{job}: no answer; is a controller up?")
             await asyncio.sleep(WAIT_S)
 
     show(ask(targets(at, lab), work), as_json)
--- a/coveflow/cli/tes.py
+++ b/coveflow/cli/tes.py
@@ -17,7 +17,7 @@
 
 from coveflow.cli.errors import UserError
 from coveflow.cli.labs import running
-from coveflow.client import GaveUp, Refused
+from coveflow.client import RequestRejected, RetriesExhausted
 from coveflow.taskclient import TaskClient
 
 COLORS = {"COMPLETE": "green", "RUNNING": "cyan", "EXECUTOR_ERROR": "red", "SYSTEM_ERROR": "red"}
@@ -64,7 +64,7 @@
 
     try:
         return asyncio.run(run())
-    except (Refused, GaveUp) as error:
+    except (RequestRejected, RetriesExhausted) as error:
         raise UserError(str(error)) from error
 
 
--- a/coveflow/constants.py
+++ b/coveflow/constants.py
@@ -1,236 +1,300 @@
 """Every constant of the service, with its unit and the reason for its value.
 
-Limits of a deployment are not here: they come from the settings file and the cloud.
-Values an operator may change are the defaults of `settings.Tuning`.
+Deployment limits are not here: they come from the settings file and the cloud.
+Values that an operator may change are the defaults of `settings.Tuning`.
 """
 
-# --- interface limits (the protocol's own) ---------------------------------------------
-MAX_BODY = 64 * 1024  # bytes; request bodies above it are refused with 413
-MAX_TASKS = 100_000  # tasks; largest job a user may submit
-AMOUNT_LEAST = (
-    1e-6  # CPUs, GB or accelerators; less counts as this much, so that quotients are finite
-)
-AMOUNT_MOST = 1e9  # the same; more than any machine has, so that sums and quotients are finite
-DURATION_LEAST_S = 1e-3  # s; a shorter estimate counts as this long
-DURATION_MOST_S = 1e9  # s; 30 years: a longer one counts as this long
-NAME_MOST = 200  # characters of a team's, class's, type's or zone's name
-IMAGE_NAME_MOST = 500  # characters; a registry's path with a digest
-NAME_ESCAPED = 600  # bytes of such a name in JSON with escapes, and
-IMAGE_NAME_ESCAPED = 1000  # of an image's: a transaction of 24 submissions stays under 64 KiB
-MAX_RENT = 50  # machines; most that one rental request may name
-MAX_RETURN = 100  # machines; most that one return may name
-LIST_PAGE = 500  # machines; largest page of the cloud's list
-STORE_PAGE = 1000  # items; largest page of the state service
-RETURNED_COST_S = 60.0  # s; what a machine costs at the least
+# --- interface limits (set by the protocol) --------------------------------------------
+MAX_BODY = 64 * 1024  # bytes; larger request bodies are refused with 413
+MAX_TASKS = 100_000  # tasks in the largest job that a user may submit
+# CPUs, GB or accelerators. Smaller amounts are raised to the minimum, so that quotients are
+# finite; the maximum exceeds any machine and keeps sums and quotients finite.
+AMOUNT_MIN = 1e-6
+AMOUNT_MAX = 1e9
+DURATION_MIN_S = 1e-3  # s; shorter estimates are raised to this
+DURATION_MAX_S = 1e9  # s (30 years); longer estimates are lowered to this
+NAME_MAX_CHARS = 200  # characters in the name of a team, class, machine type or zone
+IMAGE_NAME_MAX_CHARS = 500  # characters; fits a registry path with a digest
+# Bytes of such names in JSON with escapes: a transaction of 24 submissions stays under 64 KiB.
+NAME_MAX_ESCAPED_BYTES = 600
+IMAGE_NAME_MAX_ESCAPED_BYTES = 1000
+MAX_RENT = 50  # machines in one rental request
+MAX_RETURN = 100  # machines in one return request
+LIST_PAGE = 500  # machines in the largest page of the cloud's list
+STORE_PAGE = 1000  # items in the largest page of the state service
+MIN_BILLED_S = 60.0  # s; the minimum time that a machine is billed for
 
 # --- state service ---------------------------------------------------------------------
-STORE_TIMEOUT_S = 4.0  # s; answers take ms, sometimes a few hundred: beyond this, unsure. Less than
-# a slow store takes would mean no service at all; users wait 5 s
-HEDGES_S = (
-    0.06,
-    0.25,
-    1.0,
-    1.0,
-)  # s waited for an answer before a commit is sent again, each time:
-# answers take ms, a few of them 0.25 s, and those that were lost never come
-HEDGE_PART = 0.1  # part of a node's share of changes for that, so that a slow store gets no more
-HEDGE_READ = 8  # writes at most that are read to tell whether an earlier copy applied
-WATCH_HOLD_S = 1.0  # s; how long a watch waits; its return is what proves store contact
-WATCH_UNANSWERED = 2  # watches in a row without an answer after which the keys are read instead
-WATCH_PACE_S = 0.1  # s; least time between two watches, so bursts share one answer
-WATCH_PART = 0.25  # part of a node's requests for the watch, which every change ends
+# s. Answers take milliseconds, sometimes a few hundred; after this the outcome is unknown. A lower
+# limit would stop the service whenever the store is slow; users wait 5 s.
+STORE_TIMEOUT_S = 4.0
+# s waited for an answer before a commit is sent again, for each repetition. Answers take
+# milliseconds, a few of them 0.25 s; lost ones never arrive.
+COMMIT_HEDGE_DELAYS_S = (0.06, 0.25, 1.0, 1.0)
+# Share of a node's changes for repeated commits; limits load on a slow store.
+COMMIT_HEDGE_SHARE = 0.1
+# Writes read back at most to find out whether an earlier copy was applied.
+COMMIT_HEDGE_MAX_READS = 8
+WATCH_WAIT_S = 1.0  # s that a watch request waits; its answer proves contact with the store
+WATCH_MAX_UNANSWERED = 2  # consecutive watches without an answer before the keys are read instead
+WATCH_MIN_INTERVAL_S = 0.1  # s; minimum time between two watches, so that bursts share one answer
+# Share of a node's requests for the watch, which returns on every change.
+WATCH_REQUEST_SHARE = 0.25
 RETRY_S = 0.25  # s; first pause after a failed call, doubled up to RETRY_MAX_S
-RETRY_MAX_S = 2.0  # s; an outage's end is noticed within this
-LEADER_SHARE = 0.6  # part of the store's budgets that the leader may use
-HOLD_LIFE_S = 1.6  # s; a dead member is noticed after this
-HOLD_RENEW_S = 0.3  # s; five renewals fit into a life, so losses do not matter
-HOLD_TIMEOUT_S = 0.3  # s; a new try beats the second copy of a lost packet; a late one still counts
-VIEW_WRITE_S = 3.0  # s in which a new view has to be written, before its writer looks again
-TURN_S = 0.15  # s each next member in line waits for those before it; a take-over takes less
-TURN_LATE_S = 5.0  # s more for one whose own ways are cut: it leads only if nobody else does
-RETURNS_MOST = 1  # times in a row an ended leader may take its lead again; then it names another
-HEIR_WAIT_S = 1.0  # s it waits to hear one that it could name, and leads after all if none is
-RIDERS_BYTES = 12 * 1024  # bytes of other interfaces' final records in a transaction; with
-# TXN_BYTES of slots and news of the ends still under the service's 64 KiB
+RETRY_MAX_S = 2.0  # s; the end of an outage is noticed within this time
+LEADER_SHARE = 0.6  # share of the store's request budgets that the leader may use
+MEMBER_LEASE_S = 1.6  # s; lease of a member: a dead one is noticed after this time
+MEMBER_LEASE_RENEW_S = 0.3  # s between renewals; five fit into a lease, so single losses do no harm
+# s; a new attempt is faster than the retransmission of a lost packet, and a late answer still
+# counts.
+MEMBER_LEASE_TIMEOUT_S = 0.3
+# s within which a new view must be written before its writer checks again.
+VIEW_WRITE_TIMEOUT_S = 3.0
+# s that each candidate waits per candidate before it; a takeover takes less.
+SUCCESSION_STEP_S = 0.15
+# s more for a candidate with lost connections of its own: it leads only if no other node does.
+SUCCESSION_ISOLATED_DELAY_S = 5.0
+# Times in a row that a restarted leader may resume its leadership; then it names a successor.
+LEADER_MAX_RESUMPTIONS = 1
+# s that it then waits to hear from a possible successor; if none is heard, it leads itself.
+SUCCESSOR_WAIT_S = 1.0
+# Bytes of final records from other interfaces in a transaction; together with TXN_BYTES of slots
+# and the announcements of these ends it stays under the service's 64 KiB.
+TXN_FINAL_RECORD_BYTES = 12 * 1024
 TXN_BYTES = 48 * 1024  # bytes; transactions stay well under the service's 64 KiB
 
 # --- records ---------------------------------------------------------------------------
-LAYOUT = 2  # of the leader's records; 1 was one key per machine and job
-SLOTS_MIN = 16  # slots at the least; more than one transaction ever writes
-SLOTS_SPARE = 3  # times the live bytes: overwriting the oldest slot then carries over a third
-SLOT_PART = 0.85  # part of the value limit that a slot uses, for its frame and escapes
-SLOTS_TXN = 6  # slots one transaction writes at most; with their bytes under TXN_BYTES
-UNREADABLE_S = 5.0  # s before a node whose records could not be read tries to lead again
-CHUNK_TASKS = 512  # tasks per progress item; 128 characters as a bit map
-MACHINE_PLACEMENTS = 200  # placements on one machine's record, keeping it under 8 KiB
-TERMINAL_CACHE = 20_000  # jobs whose final state a node remembers without asking
-REMOVED_KEPT = 2_000  # jobs whose removal is remembered against late changes of the watch
-GONE_KEPT = 5_000  # machines proven gone that are remembered against their late reports
+LAYOUT = 2  # version of the leader's records; 1 had one key per machine and job
+SLOTS_MIN = 16  # minimum number of slots; more than one transaction ever writes
+# Multiple of the live bytes: overwriting the oldest slot then copies over a third.
+SLOTS_SPARE_FACTOR = 3
+# Share of the value limit that a slot uses; the rest is for framing and escapes.
+SLOT_FILL_SHARE = 0.85
+SLOTS_PER_TXN = 6  # slots that one transaction writes at most; their bytes stay under TXN_BYTES
+UNREADABLE_RETRY_S = 5.0  # s before a node whose records could not be decoded tries to lead again
+CHUNK_TASKS = 512  # tasks per progress item; 128 characters as a bitmap
+MACHINE_PLACEMENTS = 200  # placements in one machine's record, which keeps it under 8 KiB
+TERMINAL_CACHE = 20_000  # jobs whose final state a node remembers without a read
+REMOVED_JOBS_KEPT = 2_000  # removed jobs that are remembered, to ignore late changes from the watch
+GONE_MACHINES_KEPT = 5_000  # machines proven gone that are remembered, to ignore their late reports
 
 # --- users -----------------------------------------------------------------------------
-SUBMIT_S = 2.0  # s a submission may spend on the store before its user is told to come back
-POLL_S = 1.2  # s a poll may; users wait 2 s
-STALE_S = 2.5  # s without store contact after which a node with luckier peers is not healthy
-SUBMIT_BATCH_MOST = 24  # submissions in one transaction
-SUBMIT_WAIT_S = 3.0  # s of this node's share of the store's changes that submissions may wait for;
-# users wait 5 s for an answer
-RETRY_AFTER_MOST = 30  # s; users heed no more
-SUBMIT_BATCH_S = 0.1  # s of a node's share of changes in one transaction of submissions that wait
-SUBMIT_LEAST = 8  # submissions that may wait however small the share is
-POLL_QUEUE = 2_000  # polls that wait for the store's word; more are told to come back
-POLL_PACE_S = 0.05  # s between two checks that polls share, so that they leave requests over
-POLL_PART = 0.25  # part of a node's requests that they may use: 20 a second of one with 20 left its
-# submissions waiting for 0.15 s each
+# s that a submission may spend on the store before its user is asked to retry.
+SUBMIT_STORE_TIMEOUT_S = 2.0
+POLL_STORE_TIMEOUT_S = 1.2  # s that a poll may spend on the store; users wait 2 s
+# s without store contact after which a node is unhealthy if its peers have contact.
+STORE_CONTACT_STALE_S = 2.5
+SUBMIT_BATCH_MAX = 24  # submissions in one transaction
+# s of this node's share of store changes for which submissions may queue; users wait 5 s for an
+# answer.
+SUBMIT_QUEUE_S = 3.0
+RETRY_AFTER_MAX_S = 30  # s; users ignore a longer Retry-After
+SUBMIT_BATCH_S = 0.1  # s of a node's share of changes in one transaction of queued submissions
+SUBMIT_QUEUE_MIN = 8  # submissions that may queue however small the share is
+POLL_QUEUE_MAX = 2_000  # polls that wait for a read of the store; further ones are asked to retry
+# s between two reads that polls share, which leaves requests for other uses.
+POLL_READ_INTERVAL_S = 0.05
+# Share of a node's requests that polls may use. With 20 polls a second out of 20 requests,
+# submissions waited 0.15 s each.
+POLL_REQUEST_SHARE = 0.25
 
 # --- peers and reports -----------------------------------------------------------------
 PING_S = 0.5  # s between pings to each peer
-PING_FAR_S = 0.9  # s between pings of two nodes that do not lead
-PING_TIMEOUT_S = 1.0  # s; an unanswered ping is a miss
-PEER_FRESH_S = 2.0  # s; a peer heard within this counts as reachable
-ANSWER_S = 3.5  # s a report waits for the leader's own answer; its worker gives up after 4
-RELAY_TIMEOUT_S = 2.0  # s; workers wait 4 s for an answer, this leaves room for a fallback
-RELAY_SPELL_S = 20.0  # s a bounced worker's reports are relayed before a redirect is tried again
-BOUNCE_S = 6.0  # s; a worker that returns within this of its redirect cannot reach its owner
-CONTACT_MARGIN_S = 4.0  # s; kept between the last possible lease end and cancel_s
-CANCEL_KEPT_PARTS = 4.0  # times cancel_s that a cancellation is told to peers and remembered; all
-# its tasks are gone after one of them
-HOLD_ANSWER_S = 0.45  # s; longest an answer waits for the commit of what its report brought
-NAME_BYTES = 24  # bytes of a machine's name in a list, with room to spare
-IDLE_ANSWER_PART = 0.6  # part of report_s an idle machine's answer may wait for new work
+PING_FOLLOWER_S = 0.9  # s between pings of two nodes neither of which leads
+PING_TIMEOUT_S = 1.0  # s after which an unanswered ping counts as missed
+PEER_FRESH_S = 2.0  # s; a peer heard within this time counts as reachable
+# s that a report waits for the leader's answer; its worker gives up after 4 s.
+REPORT_ANSWER_TIMEOUT_S = 3.5
+RELAY_TIMEOUT_S = 2.0  # s; workers wait 4 s for an answer, which leaves time for a fallback
+RELAY_PERIOD_S = 20.0  # s that reports of a worker that came back are relayed before a new redirect
+# s; a worker that returns this soon after a redirect cannot reach its target.
+REDIRECT_RETURN_S = 6.0
+CONTACT_MARGIN_S = 4.0  # s kept between the last possible end of a lease and cancel_s
+# Multiple of cancel_s for which a cancellation is sent to peers and remembered; all its tasks are
+# gone after one.
+CANCEL_KEPT_FACTOR = 4.0
+ANSWER_COMMIT_WAIT_S = 0.45  # s that an answer waits at most for the commit of its report's changes
+MACHINE_NAME_BYTES = 24  # bytes reserved for a machine's name in a list
+# Share of report_s that the answer to an idle machine may wait for new work.
+IDLE_ANSWER_SHARE = 0.6
 
-# --- doubt about nodes -----------------------------------------------------------------
-DOUBT_WINDOW = 100  # intervals kept of a link: about a minute of pings
-DOUBT_FLOOR_S = 0.12  # s; least standard deviation: one lost packet is sent again after 0.2 s
-DOUBT_MOST = 30.0  # level at which more makes no difference
-DOUBT_RAISE = 6.0  # level at which doubt begins: once in a million ordinary intervals
-DOUBT_KEEP = 2.0  # level down to which it stays
-DOUBT_CALM_S = 1.0  # s without its reason before a doubt goes, doubled by each that came back
-DOUBT_CALM_MAX_S = 30.0  # s; the most of it
-DOUBT_FADE_S = 60.0  # s after which one return of a doubt is forgotten
-DOUBT_WORD_S = 2.0  # s for which a node's word of itself counts
-DOUBT_STORE_S = 1.8  # s without store contact; a watch returns once a second
-DOUBT_PACE_S = 0.5  # s by which timers fire late; a full pass at 700 machines takes 0.3 s
-ENDS_MOST = 1  # ends of a node within DOUBT_FADE_S that raise no doubt: anything ends once
-LEAVE_CALM_S = 2.0  # s without its reason before a node that left comes back, doubled each time
-LEAVE_CALM_MAX_S = 60.0  # s; the most of it
-CUT_REPORTS_S = 0.25  # s; least standard deviation of the time between two reports to a node
-CUT_MACHINES = 5  # machines that reported to a node lately, so that silence of all says something
-CUT_STAYS_S = 60.0  # s a node calls itself cut from workers while none comes
-SLOW_TIMES = 10.0  # times later than the best other node that a leader must be to hand over
-SLOW_S = 3.0  # s of it without a break
-SLOW_GAP_S = 30.0  # s between two such hand-overs by one node, doubled while they follow on
+# --- failure detector ------------------------------------------------------------------
+SUSPICION_WINDOW = 100  # intervals kept per link: about a minute of pings
+# s; minimum standard deviation: a lost packet is retransmitted after 0.2 s.
+SUSPICION_MIN_DEVIATION_S = 0.12
+SUSPICION_MAX_LEVEL = 30.0  # cap of the suspicion level; higher levels make no difference
+SUSPICION_RAISE_LEVEL = 6.0  # level at which suspicion begins: one in a million ordinary intervals
+SUSPICION_CLEAR_LEVEL = 2.0  # level down to which a suspicion stays
+# s without its reason before a suspicion is cleared, doubled each time it returns.
+SUSPICION_CLEAR_S = 1.0
+SUSPICION_CLEAR_MAX_S = 30.0  # s; upper limit of that time
+SUSPICION_FORGET_S = 60.0  # s after which one return of a suspicion is forgotten
+NODE_STATUS_VALID_S = 2.0  # s for which the status that a node reports about itself is valid
+# s without store contact that raise suspicion; a watch returns every second.
+SUSPICION_STORE_S = 1.8
+# s of timer lateness that raise suspicion; a full planning pass for 700 machines takes 0.3 s.
+SUSPICION_TIMER_LATE_S = 0.5
+# Ends of a node's process within SUSPICION_FORGET_S that raise no suspicion: one is not unusual.
+SUSPICION_MAX_ENDS = 1
+LEAVE_BACKOFF_S = 2.0  # s without its reason before a node that left returns, doubled each time
+LEAVE_BACKOFF_MAX_S = 60.0  # s; upper limit of that time
+# s; minimum standard deviation of the time between two reports to a node.
+CUT_MIN_DEVIATION_S = 0.25
+CUT_MIN_MACHINES = 5  # machines that reported to a node lately; with fewer, silence means little
+CUT_KEPT_S = 60.0  # s that a node counts itself as cut off from workers while none reports
+SLOW_LEADER_FACTOR = 10.0  # factor by which a leader's timers are later than the best other node's
+SLOW_LEADER_S = 3.0  # s that this must last before the leader hands over
+# s between two such handovers by one node, doubled while they follow each other.
+SLOW_LEADER_BACKOFF_S = 30.0
 
 # --- overload of the leader by its own work ----------------------------------------------
-BATCH_COMMANDS = 50  # commands in one batch: under 0.1 s, a third of the time limit of a renewal
-BUSY_FADE_S = 3.0  # s after which older work counts for a third in the busy share
-BUSY_SHARE = 0.4  # part of the time in the owner's own work from which lateness is that work's;
-# reading requests, which comes on top, takes about as long again
-COMPUTE_STEPS = 2000  # steps of the computation that is timed: about 0.1 ms
-COMPUTE_EVERY_S = 1.0  # s between two tries of it: a ten-thousandth of the processor
-COMPUTE_TRIES = 10  # newest tries of which the least counts: a try may be interrupted
-SICK_TIMES = 2.0  # times slower than the best other node that a process is sick, not full of work
+BATCH_COMMANDS = 50  # commands per batch: under 0.1 s, a third of the timeout of a lease renewal
+BUSY_DECAY_S = 3.0  # s after which older work counts for a third in the busy share
+# Share of time spent on the owner's own work from which lateness is put down to that work. Reading
+# requests, which is not included, takes about as long again.
+BUSY_SHARE = 0.4
+COMPUTE_STEPS = 2000  # steps of the reference computation: about 0.1 ms
+COMPUTE_INTERVAL_S = 1.0  # s between two samples: a ten-thousandth of the processor
+COMPUTE_SAMPLES = 10  # newest samples, of which the shortest counts: a sample may be interrupted
+# Factor over the best other node from which a process is slow, not overloaded.
+SLOW_PROCESS_FACTOR = 2.0
 
-# --- reports taken by one node and answered by another ---------------------------------
-CARRY_PACE_S = 0.15  # s between two batches to the leader: each costs both sides a millisecond
-CARRY_POLL_S = 0.25  # s between two looks for answers while there is nothing to send
-CARRY_ASKS = 0.7  # part of PING_S after which a batch asks for the leader's word, as a ping would
-CARRY_HEARD_S = 0.8  # s since the leader's last answer in which doubt keeps no batch back
-CARRY_BYTES = 256 * 1024  # bytes of reports in a batch: a quarter of what the HTTP library takes in
-CARRY_SEEN = 40  # reports in a batch that are only told of, a KiB or a few each
-CARRY_AT_ONCE = 3  # batches under way, so that a slow answer does not stop the next ones
-CARRY_TIMEOUT_S = 1.0  # s; a batch is answered at once or lost
-CARRY_WAIT_S = 3.2  # s a report waits for its answer; its worker gives up after 4
-HOMES_S = 0.2  # s between two looks for the nodes that take reports, asked for with each report
-EXPOSED_S = 10.0  # s of a node's silence after which the one before it takes no workers: an ended
-# process is back by then
-CARRY_LOST_S = 2.3  # s of doubt about the leader after which its hold would be over if it were gone
+# --- reports received by one node and answered by another ------------------------------
+# s between two batches to the leader: each costs both sides a millisecond.
+REPORT_BATCH_INTERVAL_S = 0.15
+REPORT_BATCH_POLL_S = 0.25  # s between two requests for answers while there is nothing to send
+# Multiple of PING_S after which a batch asks for the leader's status, like a ping.
+REPORT_BATCH_STATUS_PINGS = 0.7
+REPORT_BATCH_CONTACT_S = 0.8  # s after the leader's last answer in which suspicion delays no batch
+# Bytes of reports in a batch: a quarter of the HTTP library's limit.
+REPORT_BATCH_BYTES = 256 * 1024
+# Redirected reports in a batch, for information only; a KiB or a few each.
+REPORT_BATCH_REDIRECTED = 40
+# Batches in flight, so that a slow answer does not delay the next ones.
+REPORT_BATCHES_IN_FLIGHT = 3
+REPORT_BATCH_TIMEOUT_S = 1.0  # s; a batch is answered at once or lost
+REPORT_BATCH_ANSWER_S = 3.2  # s that a report waits for its answer; its worker gives up after 4 s
+# s for which the list of nodes that take reports is cached; each report needs it.
+HOME_NODES_CACHE_S = 0.2
+# s of a node's silence after which the node before it takes no workers: a process that ended is
+# restarted by then.
+SILENT_NEIGHBOUR_S = 10.0
+LEADER_LOST_S = 2.3  # s of suspicion after which the lease of a leader that ended would be over
 
-# --- reports by the store's mailbox ------------------------------------------------------
-MAIL_PACE_S = 0.4  # s between two mails of a node, so that a zone's reports share a write
-MAIL_WAIT_S = 2.4  # s an answer by mail is waited for; the worker gives up after 4
-MAIL_EACH_S = 2.0  # s between two mailed reports of one machine that bring no end of a task
-MAIL_ALIVE_S = 4.0  # s between two lists of the machines that a cut-off node keeps alive
-MAIL_REPLY_S = 0.6  # s the leader collects answers before it replies
-MAIL_PART = 0.7  # part of the value limit that a mail uses, for its frame and escapes
-MAIL_ALONE_PART = 0.95  # part of it that a report may have that goes alone
-REPLY_PART = 0.8  # part of it that a reply uses
+# --- reports through the store's mailbox -------------------------------------------------
+MAIL_INTERVAL_S = 0.4  # s between two messages of a node, so that a zone's reports share a write
+MAIL_ANSWER_S = 2.4  # s that an answer by mailbox is awaited; the worker gives up after 4 s
+# s between two such reports of one machine that contain no end of a task.
+MAIL_MACHINE_INTERVAL_S = 2.0
+MAIL_ALIVE_INTERVAL_S = 4.0  # s between two lists of the machines that an isolated node keeps alive
+MAIL_REPLY_INTERVAL_S = 0.6  # s that the leader collects answers before it replies
+# Share of the value limit that a message uses; the rest is framing and escapes.
+MAIL_FILL_SHARE = 0.7
+MAIL_SINGLE_FILL_SHARE = 0.95  # the same for a message with a single report
+MAIL_REPLY_FILL_SHARE = 0.8  # the same for a reply
 
 # --- zones ------------------------------------------------------------------------------
-ZONE_LEAST = 5  # machines heard in a zone, so that the silence of most says something of it
-ZONE_QUIET = 0.7  # part of a zone's machines that are silent when it counts as cut off
-ZONE_HEARD = 0.4  # part of them up to which it counts as heard
-ZONE_QUIET_S = 1.5  # s of silence beside two report intervals: a worker whose controller ended
-# needs one, and a second to find another
-ZONE_RETURN_S = 20.0  # s over which the machines of a zone go back whose leases have all ended
-ZONE_CALM_S = 10.0  # s for which a zone that is heard again counts as returning, doubled each time
-ZONE_CALM_MAX_S = 120.0  # s; the most of it
+ZONE_MIN_MACHINES = 5  # machines heard in a zone; with fewer, the silence of most means little
+ZONE_UNREACHABLE_SHARE = 0.7  # share of silent machines from which a zone counts as unreachable
+ZONE_REACHABLE_SHARE = 0.4  # share of silent machines up to which it counts as reachable
+# s of silence in addition to two report intervals: a worker whose controller ended needs one
+# interval, and a second to find another controller.
+ZONE_SILENT_S = 1.5
+ZONE_RELEASE_S = 20.0  # s over which the machines of a zone with only expired leases are returned
+ZONE_RECOVERY_S = 10.0  # s for which a zone heard again counts as recovering, doubled each time
+ZONE_RECOVERY_MAX_S = 120.0  # s; upper limit of that time
 
 # --- machines --------------------------------------------------------------------------
 SILENT_MARGIN_S = 1.5  # s past lease_s before a silent machine is returned
-NOTICE_SILENT_S = 3.0  # s of silence after a spot notice that mean the machine was taken
-BOOT_PATIENCE = 3.0  # times the nominal boot time before a machine that is not up is returned
-BOOT_PATIENCE_S = 30.0  # s added to it
+NOTICE_SILENT_S = 3.0  # s of silence after a spot notice from which the machine counts as reclaimed
+BOOT_TIMEOUT_FACTOR = 3.0  # multiple of the nominal boot time before a booting machine is returned
+BOOT_TIMEOUT_EXTRA_S = 30.0  # s added to it
 SUSPECT_JOBS = 2  # jobs that failed with an error on a machine before it is avoided
-SUSPECT_TASKS = 2  # failures of one job that completes elsewhere, before it is avoided
-ERROR_MACHINES = 3  # sound machines on which a job failed before the job is to blame
-ERROR_BACKOFF_S = 2.0  # s; pause of a job that is to blame, doubled with each failure
+SUSPECT_TASKS = 2  # failures of one job that completes elsewhere before the machine is avoided
+ERROR_MACHINES = 3  # healthy machines on which a job failed before the job is at fault
+ERROR_BACKOFF_S = 2.0  # s; pause of a job that is at fault, doubled with each failure
 ERROR_BACKOFF_MAX_S = 60.0  # s
-DEAF_MISSES = 3  # answers in a row without effect before a machine counts as deaf: one may be lost
-DEAF_LEAST_S = 6.0  # s over which they go; a worker that gets none reports every 5 s
-DEAF_ANSWERS = 2  # answers within one lease that its end shows to be lost
-DEAF_LEASE_PART = 0.3  # part of the lease over which these went: not all at once, after a pause
-DEAF_GIVE_UP_S = 5.0  # s until a worker without an answer asks the next node: 4 s and one more
-DEAF_QUICK_S = 4.4  # s; a report this soon after an answer shows that it was not given up, for
-# which a worker takes 4 s and one more
-DEAF_FOLLOWS_S = 2.0  # s within which a machine that was sent to another node asks there
-DEAF_QUICK = 3  # such reports in a row that end the doubt; connections may break now and then
-DEAF_GROWTH = 4  # times as many tasks with each order that shows; half a second each
-DEAF_TRUSTED = 16  # tasks at once after which a machine that hears again has no bound any more
-DEAF_LEASES = 1.5  # leases for which a deaf machine may heal before it goes back
-DEAF_MANY_LEASES = 4.0  # the same where many are: it is the way to them, and that comes back
-DEAF_PART = 0.05  # part of the fleet that may go back as deaf at a time, and that is not many
-BACK_S = 0.4  # s from the first report after a silence, which may have been held back, to work;
-# a worker sends two that it has to send half a second apart
-STOOD_STILL_S = 3.0  # s between two checks of silence, half a second apart, after which the silence
-# of others says only that this process stood still
-DRAIN_SPARE_S = 2.0  # s before a spot machine's end at which saving must be over
+# Consecutive answers without effect before a machine counts as not receiving: one may be lost.
+NOT_RECEIVING_MISSES = 3
+NOT_RECEIVING_MIN_S = 6.0  # s that they must span; a worker without answers reports every 5 s
+# Answers sent within one lease; the end of the lease shows that they were lost.
+NOT_RECEIVING_ANSWERS = 2
+# Share of the lease that they must span: not all at once, after a pause.
+NOT_RECEIVING_LEASE_SHARE = 0.3
+WORKER_GIVE_UP_S = 5.0  # s until a worker without an answer asks the next node: 4 s, then 1 s
+# s; a report this soon after an answer shows that the worker did not time out, which takes 4 s and
+# 1 s more.
+PROMPT_REPORT_S = 4.4
+# s within which a machine that was redirected to another node reports there.
+REDIRECT_FOLLOWED_S = 2.0
+# Such reports in a row that end the suspicion; connections may break now and then.
+PROMPT_REPORTS = 3
+# Factor on the task limit for each order that took effect; half a second each.
+TASK_LIMIT_GROWTH = 4
+TASK_LIMIT_MAX = 16  # task limit from which a machine that receives again has no limit any more
+NOT_RECEIVING_LEASES = 1.5  # leases within which a machine that does not receive may recover
+# The same if many machines are affected: then the network path is at fault, and it recovers.
+NOT_RECEIVING_MANY_LEASES = 4.0
+# Share of the fleet that may be returned at a time as not receiving; not many.
+NOT_RECEIVING_RETURN_SHARE = 0.05
+# s from the first report after a silence until new work is assigned, since that report may have
+# been delayed. A worker sends two delayed reports half a second apart.
+RESUME_DELAY_S = 0.4
+# s between two silence checks, which are half a second apart, from which this process was paused
+# and the silence of others proves nothing.
+PROCESS_PAUSED_S = 3.0
+DRAIN_MARGIN_S = 2.0  # s before the end of a spot machine at which checkpoints must be complete
 
 # --- direct requests to machines -------------------------------------------------------
 DIRECT_LATE_S = 1.0  # s by which a report must be late before cancelled work is stopped directly
-DIRECT_TIMEOUT_S = 1.5  # s; a machine that runs answers at once
-DIRECT_AT_ONCE = 64  # requests under way: a silent zone has hundreds of machines
-DIRECT_PAUSE_S = 0.5  # s from one request to the next without an answer, doubled each time
-DIRECT_PAUSE_MAX_S = 8.0  # s; the most of it: one that hangs has the first request waiting
+DIRECT_TIMEOUT_S = 1.5  # s; a running machine answers at once
+DIRECT_MAX_IN_FLIGHT = 64  # requests in flight: a silent zone has hundreds of machines
+DIRECT_RETRY_S = 0.5  # s before an unanswered request is repeated, doubled each time
+DIRECT_RETRY_MAX_S = 8.0  # s; upper limit: a machine that hangs keeps the first request waiting
 
 # --- planning --------------------------------------------------------------------------
-BUCKET_S = 2.5  # s; steps in which a pool's future is planned, half a cycle
-BEGIN_S = 150.0  # s after which a job of which nothing ever began comes first; it has to begin
-# within 240, and rooms that fall free, images and a change of the lead take a minute and more
-BEGIN_PART = 0.125  # part of its tasks that it begins with then
-LENT_S = 75.0  # s of waiting after which a job of which nothing runs takes room that is kept for
-# guarantees and coming work: none is to wait beside room for 90
-SPOT_REFUSED_S = 60.0  # s for which the cloud refuses all spot machines that best-effort work may
-# use before it may get ordinary ones, if it waited as long: asked every 15 s, no moment's shortage
-BACKLOG_S = 60.0  # s in which best-effort work is to get its turn on what is up where there are no
-# spot machines; with the minute before it, its start is well within the operators' 240
-FLOOR_PART = 0.15  # part of the room that work which waited longer than that may have before others
-EVENT_PASS_S = 0.15  # s between two cheap passes, so that exits share one
-READY_S = 30.0  # s of coming work for which free accelerators are kept; about a boot or a fetch
-ASKED_PARTS = 6  # parts of the time over which recent demand is counted; their median is taken,
-ASKED_PART_S = 20.0  # s each, so that a single rush does not pass for what usually comes
-COMING_KEPT = 20  # jobs of a class by whose times it is told how often they come
-COMING_TIMES = 5.0  # times the usual time between two without one, after which no more are waited
-# for: one in 150 such times is as long, and all prompt classes have to be quiet at once
-COMING_LEAST_S = 20.0  # s of that at the least; a rush ends no sooner
-USES_KEPT = 32  # recent jobs' use beside an accelerator, from which free ones keep room
-GUESS_TOLD = 0.05  # part by which a guess must have moved to be told to the trace again
-PASS_PART = 12  # times a pass's own time before the next: planning stays under a tenth
-LEAD_PASS_S = 0.3  # s from a take-over to the first pass: homes carry what waits within 0.1 s
-ARRIVAL_CYCLE_S = 0.5  # s between two full cycles that newly arrived jobs bring forward
-COMMIT_PACE_S = 0.08  # s between two scheduling commits, so that changes share one
+TIMELINE_STEP_S = 2.5  # s; time step for planning a pool's future, half a cycle
+# s after which a job that has never started a task comes first. It has to start within 240 s;
+# waiting for capacity, image transfers and a change of leader take a minute or more.
+FIRST_START_S = 150.0
+FIRST_START_SHARE = 0.125  # share of its tasks that it then starts
+# s of waiting after which a job with no running task takes capacity that is reserved for guarantees
+# and expected work: no job should wait 90 s while there is capacity.
+RESERVED_CAPACITY_WAIT_S = 75.0
+# s for which the cloud must refuse every spot type that best-effort work may use before that work,
+# if it has waited as long, may use on-demand machines. Requests are made every 15 s, so a
+# momentary shortage does not count.
+SPOT_REFUSED_S = 60.0
+# s within which best-effort work gets its turn on running machines if there are no spot machines.
+# With the minute before it, the work starts well within the operators' 240 s.
+BACKLOG_S = 60.0
+LONG_WAIT_SHARE = 0.15  # share of capacity that work which waited longer may have before other work
+EVENT_PASS_S = 0.15  # s between two cheap passes, so that task exits share one
+# s of expected work to keep accelerators free for; about a boot or an image fetch.
+EXPECTED_WORK_S = 30.0
+# Recent demand is counted in this many parts of the given s each. Their median is used, so that a
+# single burst does not count as usual demand.
+DEMAND_PERIODS = 6
+DEMAND_PERIOD_S = 20.0
+ARRIVALS_KEPT = 20  # arrival times kept per class, to estimate how often jobs arrive
+# Multiple of the usual interval without an arrival after which no more jobs are expected. One in
+# 150 such intervals is as long, and all prompt classes must be quiet at the same time.
+ARRIVAL_GAP_FACTOR = 5.0
+ARRIVAL_GAP_MIN_S = 20.0  # s; minimum of that time; a burst ends no sooner
+# Recent jobs' CPU and RAM use per accelerator, kept free beside free accelerators.
+ACCELERATOR_USES_KEPT = 32
+# Relative change of a prediction after which the trace records it again.
+PREDICTION_TRACE_CHANGE = 0.05
+# Multiple of a pass's own duration before the next: planning stays under a tenth.
+PASS_INTERVAL_FACTOR = 12
+# s from a takeover to the first pass: nodes forward waiting reports within 0.1 s.
+FIRST_PASS_DELAY_S = 0.3
+ARRIVAL_CYCLE_S = 0.5  # s between two full cycles that new jobs trigger early
+COMMIT_INTERVAL_S = 0.08  # s between two scheduling commits, so that changes share one
 HISTORY_WRITE_S = 20.0  # s between two writes of the histories
-HISTORY_BYTES = 6 * 1024  # bytes of one history record, below the smallest value limit seen
-FEATURES_MAX = 400  # feature values kept; the least recently used go first
-FIRST_REPORTS = 1.5  # report intervals in which a new leader hears all that can be heard: one, a
-# quarter more, and a redirect
-CANCEL_RETURN_PART = 0.6  # part of cancel_s after which a machine with unproven ends goes back
+HISTORY_BYTES = 6 * 1024  # bytes of one history record, below the smallest value limit observed
+FEATURES_MAX = 400  # feature values kept; the least recently used are evicted first
+# Report intervals within which a new leader hears from every reachable machine: one, a quarter
+# more, and a redirect.
+FIRST_REPORT_INTERVALS = 1.5
+CANCEL_RETURN_SHARE = 0.6  # share of cancel_s after which a machine with unproven ends is returned
--- a/coveflow/core/admission.py
+++ b/coveflow/core/admission.py
@@ -96,4 +96,4 @@
     `jitter` in 0 to 1 spreads the retries. The protocol honours at most 30 s.
     """
     wait = waiting / max(rate_per_s, 0.1)
-    return max(1, min(c.RETRY_AFTER_MOST, math.ceil(wait * (1.0 + jitter))))
+    return max(1, min(c.RETRY_AFTER_MAX_S, math.ceil(wait * (1.0 + jitter))))
--- a/coveflow/core/answer_receipt.py
+++ b/coveflow/core/answer_receipt.py
@@ -88,9 +88,11 @@
         """
         while self.unconfirmed_answers and self.unconfirmed_answers[0] < now - lease_s:
             self.unconfirmed_answers.popleft()
-        self.reported_at, self.after_timeout = now, now - self.answered_at >= c.DEAF_QUICK_S
+        self.reported_at, self.after_timeout = now, now - self.answered_at >= c.PROMPT_REPORT_S
         previous, known = self.not_receiving_since, self.answered_counter >= 0 and not new_tenure
-        followed = self.redirected and at_home_node and now - self.answered_at < c.DEAF_FOLLOWS_S
+        followed = (
+            self.redirected and at_home_node and now - self.answered_at < c.REDIRECT_FOLLOWED_S
+        )
         behind = report.epoch < epoch and self.highest_epoch <= report.epoch
         epoch_learnt = (
             report.epoch >= epoch and self.highest_epoch < epoch and self.answered_counter >= 0
@@ -102,13 +104,13 @@
         session_kept = (
             restricted
             and not new_tenure
-            and now - self._suspected_at() > lease_s + c.DEAF_GIVE_UP_S
+            and now - self._suspected_at() > lease_s + c.WORKER_GIVE_UP_S
         )
         self.highest_epoch = max(self.highest_epoch, report.epoch)
         # A worker gives up on an answer after 4 s and asks the next node a second later.
-        early = known and at_home_node and not behind and now - self.answered_at < c.DEAF_QUICK_S
+        early = known and at_home_node and not behind and now - self.answered_at < c.PROMPT_REPORT_S
         self.early_reports = self.early_reports + 1 if early else 0
-        if received or session_kept or self.early_reports >= c.DEAF_QUICK:
+        if received or session_kept or self.early_reports >= c.PROMPT_REPORTS:
             # It receives answers: otherwise its session would have ended, or its next report would
             # not have come so early.
             self._reset_missed()
@@ -119,11 +121,14 @@
         if new_tenure:
             self._start_session(lease_s, now)
         elif self.not_receiving and (
-            received or session_kept or self.early_reports >= c.DEAF_QUICK
+            received or session_kept or self.early_reports >= c.PROMPT_REPORTS
         ):
             # Answers reach it again: it gets one task first, and more with each order carried out.
             self.not_receiving_since, self.task_limit, self.missed_since = None, 1, now
-        elif self.missed_answers >= c.DEAF_MISSES and now - self.missed_since >= c.DEAF_LEAST_S:
+        elif (
+            self.missed_answers >= c.NOT_RECEIVING_MISSES
+            and now - self.missed_since >= c.NOT_RECEIVING_MIN_S
+        ):
             self.not_receiving_since = now if previous is None else previous
         elif session_kept:
             # An idle machine has no order to carry out. Otherwise a gang can wait forever for a
@@ -131,7 +136,7 @@
             self.task_limit = 0
         elif received and self.task_limit:
             self.task_limit = (
-                self.task_limit * c.DEAF_GROWTH if self.task_limit < c.DEAF_TRUSTED else 0
+                self.task_limit * c.TASK_LIMIT_GROWTH if self.task_limit < c.TASK_LIMIT_MAX else 0
             )
         self.orders, self.answered_counter, self.redirected = {}, -1, False
         return (previous is None) != (self.not_receiving_since is None)
@@ -163,11 +168,11 @@
         lease. A machine that was cut off or hung sent no reports, and a leader whose process was
         paused sends all its answers at once when it resumes, which is no evidence.
         """
-        several = len(self.unconfirmed_answers) >= c.DEAF_ANSWERS
+        several = len(self.unconfirmed_answers) >= c.NOT_RECEIVING_ANSWERS
         if (
             several
             and self.unconfirmed_answers[-1] - self.unconfirmed_answers[0]
-            >= lease_s * c.DEAF_LEASE_PART
+            >= lease_s * c.NOT_RECEIVING_LEASE_SHARE
         ):
             self.not_receiving_since = (
                 now if self.not_receiving_since is None else self.not_receiving_since
--- a/coveflow/core/cancellations.py
+++ b/coveflow/core/cancellations.py
@@ -35,7 +35,7 @@
 
     def __init__(self, members: Iterable[str], cancel_s: float, lease_s: float) -> None:
         self.max_age_s = cancel_s - lease_s - c.CONTACT_MARGIN_S
-        self.retention_s = c.CANCEL_KEPT_PARTS * cancel_s
+        self.retention_s = c.CANCEL_KEPT_FACTOR * cancel_s
         self.peers = {name: PeerConfirmations() for name in members}
         self.store_known_until = (
             -math.inf
--- a/coveflow/core/contacts.py
+++ b/coveflow/core/contacts.py
@@ -33,7 +33,7 @@
 
     def bounced(self, now: float) -> bool:
         """Whether the worker is back soon after a redirect, so it cannot reach the target."""
-        return now - self.redirected_at < c.BOUNCE_S
+        return now - self.redirected_at < c.REDIRECT_RETURN_S
 
     def relaying(self, now: float) -> bool:
         """Whether its reports are relayed rather than redirected, because it bounced."""
@@ -41,7 +41,7 @@
 
     def start_relaying(self, now: float) -> None:
         """Relay its reports for a while before trying a redirect again."""
-        self.relay_until = now + c.RELAY_SPELL_S
+        self.relay_until = now + c.RELAY_PERIOD_S
 
     def record_redirect(self, now: float) -> None:
         """Record that the worker is redirected to another node and no longer reports here."""
@@ -63,7 +63,7 @@
         self.lease_s = lease_s
         # Longer than any time in a record matters. Records must expire so that a machine whose
         # counter restarts is not ignored forever.
-        self.keep_s = max(2 * lease_s, c.RELAY_SPELL_S)
+        self.keep_s = max(2 * lease_s, c.RELAY_PERIOD_S)
         self.by_machine: dict[str, Contact] = {}
         self.expired_at = NEVER  # when records were last expired
 
--- a/coveflow/core/delivery.py
+++ b/coveflow/core/delivery.py
@@ -111,7 +111,7 @@
     the end of a task always pass. Queueing all of them left slots empty for ten seconds and delayed
     task ends.
     """
-    if not has_end and now - contact.mailed_at < c.MAIL_EACH_S:
+    if not has_end and now - contact.mailed_at < c.MAIL_MACHINE_INTERVAL_S:
         return False
     contact.mailed_at = now
     return True
--- a/coveflow/core/demand.py
+++ b/coveflow/core/demand.py
@@ -26,20 +26,20 @@
 
         The median ignores a single burst, which does not indicate a continuing rate.
         """
-        while self.arrivals and now - self.arrivals[0][0] > c.ASKED_PARTS * c.ASKED_PART_S:
+        while self.arrivals and now - self.arrivals[0][0] > c.DEMAND_PERIODS * c.DEMAND_PERIOD_S:
             self.arrivals.popleft()
-        parts = [0] * c.ASKED_PARTS
+        parts = [0] * c.DEMAND_PERIODS
         for at, tasks in self.arrivals:
-            parts[min(max(0, int((now - at) // c.ASKED_PART_S)), c.ASKED_PARTS - 1)] += tasks
+            parts[min(max(0, int((now - at) // c.DEMAND_PERIOD_S)), c.DEMAND_PERIODS - 1)] += tasks
         assert self.spec is not None
-        return ClassDemand(self.spec, statistics.median(parts) / c.ASKED_PART_S)
+        return ClassDemand(self.spec, statistics.median(parts) / c.DEMAND_PERIOD_S)
 
 
 class ArrivalTracker:
     """Tells whether jobs of a class still arrive, from the intervals between recent arrivals."""
 
     def __init__(self) -> None:
-        self.arrival_times: deque[float] = deque(maxlen=c.COMING_KEPT)
+        self.arrival_times: deque[float] = deque(maxlen=c.ARRIVALS_KEPT)
 
     def add(self, at: float) -> None:
         """Record an arrival, in s of the caller's clock; a new leader may add them in any order."""
@@ -51,4 +51,4 @@
             return True
         first, last = min(self.arrival_times), max(self.arrival_times)
         usual = (last - first) / (len(self.arrival_times) - 1)
-        return now - last <= max(c.COMING_LEAST_S, c.COMING_TIMES * usual)
+        return now - last <= max(c.ARRIVAL_GAP_MIN_S, c.ARRIVAL_GAP_FACTOR * usual)
--- a/coveflow/core/failure_detector.py
+++ b/coveflow/core/failure_detector.py
@@ -38,7 +38,7 @@
 
     __slots__ = ("_sum", "_sum2", "floor_s", "intervals", "last_seen")
 
-    def __init__(self, expected_s: float, floor_s: float, window: int = c.DOUBT_WINDOW) -> None:
+    def __init__(self, expected_s: float, floor_s: float, window: int = c.SUSPICION_WINDOW) -> None:
         self.floor_s = floor_s
         self.last_seen: float | None = None
         self.intervals: deque[float] = deque([expected_s], maxlen=window)
@@ -78,7 +78,9 @@
         deviation = max(self.floor_s, math.sqrt(max(0.0, self._sum2 / n - mean * mean)))
         mean = max(mean, min_interval_s)
         chance = 0.5 * math.erfc((now - self.last_seen - mean) / deviation / math.sqrt(2.0))
-        return c.DOUBT_MOST if chance < 10.0**-c.DOUBT_MOST else -math.log10(chance)
+        return (
+            c.SUSPICION_MAX_LEVEL if chance < 10.0**-c.SUSPICION_MAX_LEVEL else -math.log10(chance)
+        )
 
 
 class NodeStatus(msgspec.Struct):
@@ -140,7 +142,7 @@
         # The current ping interval per node.
         self.ping_interval_s: Callable[[str], float] = lambda name: ping_s
         self.nodes = {
-            name: NodeState(AccrualDetector(ping_s, c.DOUBT_FLOOR_S))
+            name: NodeState(AccrualDetector(ping_s, c.SUSPICION_MIN_DEVIATION_S))
             for name in others
             if name != me
         }
@@ -159,7 +161,7 @@
         if node is None or node.process == process:
             return
         if node.process:
-            decay = (at - node.restarted_at) / c.DOUBT_FADE_S
+            decay = (at - node.restarted_at) / c.SUSPICION_FORGET_S
             node.restarts = max(0.0, node.restarts - decay) + 1.0
             node.restarted_at = at
         node.process = process
@@ -208,19 +210,22 @@
         self, name: str, node: NodeState, levels: dict[str, float], now: float
     ) -> dict[str, str]:
         reasons: dict[str, str] = {}
-        if levels[name] >= (c.DOUBT_KEEP if node.silent else c.DOUBT_RAISE):
+        if levels[name] >= (c.SUSPICION_CLEAR_LEVEL if node.silent else c.SUSPICION_RAISE_LEVEL):
             third = self._heard_by_third_node(name, levels, now)
             reasons[LINK_DOWN if third else SILENT_EVERYWHERE] = third or self.me
             return reasons  # its earlier status is out of date
-        if node.restarts > c.ENDS_MOST and now - node.restarted_at < c.DOUBT_CALM_S * node.restarts:
+        if (
+            node.restarts > c.SUSPICION_MAX_ENDS
+            and now - node.restarted_at < c.SUSPICION_CLEAR_S * node.restarts
+        ):
             reasons[RESTARTS] = self.me
-        if now - node.status_at < c.DOUBT_WORD_S:
+        if now - node.status_at < c.NODE_STATUS_VALID_S:
             status, age = node.status, now - node.status_at
-            if status.store_s + age > c.DOUBT_STORE_S:
+            if status.store_s + age > c.SUSPICION_STORE_S:
                 reasons[NO_STORE] = name
             if status.cut:
                 reasons[NO_WORKERS] = name
-            if status.pace_s > c.DOUBT_PACE_S:
+            if status.pace_s > c.SUSPICION_TIMER_LATE_S:
                 reasons[LATE_TIMERS] = name
         return reasons
 
@@ -228,7 +233,11 @@
         """A third node, not suspected itself, that heard the node more recently than this one."""
         silence = now - (self.nodes[name].detector.last_seen or now)
         for third, node in self.nodes.items():
-            if third == name or levels[third] >= c.DOUBT_RAISE or LATE_TIMERS in node.suspicions:
+            if (
+                third == name
+                or levels[third] >= c.SUSPICION_RAISE_LEVEL
+                or LATE_TIMERS in node.suspicions
+            ):
                 continue  # the status of a suspected node is not evidence
             age = node.status.heard.get(name)
             if age is not None and age + now - node.status_at < silence - self.ping_s:
@@ -236,14 +245,15 @@
         return ""
 
     def _count_recurrence(self, node: NodeState, reason: str, now: float) -> None:
-        decay = (now - node.recurred_at.get(reason, now)) / c.DOUBT_FADE_S
+        decay = (now - node.recurred_at.get(reason, now)) / c.SUSPICION_FORGET_S
         node.recurrences[reason] = max(0.0, node.recurrences.get(reason, 0.0) - decay) + 1.0
         node.recurred_at[reason] = now
 
     def _clear_delay_s(self, node: NodeState, reason: str) -> float:
         """s without the reason before the suspicion is cleared: doubles with each recurrence."""
         return min(
-            c.DOUBT_CALM_S * 2.0 ** (node.recurrences.get(reason, 1.0) - 1.0), c.DOUBT_CALM_MAX_S
+            c.SUSPICION_CLEAR_S * 2.0 ** (node.recurrences.get(reason, 1.0) - 1.0),
+            c.SUSPICION_CLEAR_MAX_S,
         )
 
     # --- queries -----------------------------------------------------------------------
@@ -293,7 +303,7 @@
     def status_of(self, name: str, now: float) -> NodeStatus | None:
         """The latest status of the node, unless it is out of date."""
         node = self.nodes.get(name)
-        if node is None or now - node.status_at > c.DOUBT_WORD_S:
+        if node is None or now - node.status_at > c.NODE_STATUS_VALID_S:
             return None
         return node.status
 
@@ -315,8 +325,8 @@
         problems = (
             status.cut
             + restarts
-            + (status.store_s > c.DOUBT_STORE_S)
-            + (status.pace_s > c.DOUBT_PACE_S)
+            + (status.store_s > c.SUSPICION_STORE_S)
+            + (status.pace_s > c.SUSPICION_TIMER_LATE_S)
         )
         unreachable = name != me and not detector.reachable(name)
         # Worker counts differ little while reports are evenly spread, so only powers of two count.
@@ -355,12 +365,12 @@
         elif cut:
             self.out, self.clear_since = True, None
             self.recent_exits = (
-                self.recent_exits + 1 if now - self.rejoined_at < c.DOUBT_FADE_S else 1
+                self.recent_exits + 1 if now - self.rejoined_at < c.SUSPICION_FORGET_S else 1
             )
         return self.out
 
     def _clear_delay_s(self) -> float:
-        return min(c.LEAVE_CALM_S * 2.0 ** (self.recent_exits - 1), c.LEAVE_CALM_MAX_S)
+        return min(c.LEAVE_BACKOFF_S * 2.0 ** (self.recent_exits - 1), c.LEAVE_BACKOFF_MAX_S)
 
 
 class SlowLeaderHandover:
@@ -386,9 +396,9 @@
         machines the leader changed every five seconds.
         """
         slower = (
-            pace_s > c.DOUBT_PACE_S
+            pace_s > c.SUSPICION_TIMER_LATE_S
             and best_peer_s is not None
-            and best_peer_s * c.SLOW_TIMES < pace_s
+            and best_peer_s * c.SLOW_LEADER_FACTOR < pace_s
         )
         slow = slower and not overloaded
         if not slow:
@@ -396,8 +406,8 @@
             return False
         if self.slow_since is None:
             self.slow_since = now
-        min_gap_s = c.SLOW_GAP_S * 2.0 ** min(self.recent_handovers, 5)
-        if now - self.slow_since < c.SLOW_S or now - self.handed_over_at < min_gap_s:
+        min_gap_s = c.SLOW_LEADER_BACKOFF_S * 2.0 ** min(self.recent_handovers, 5)
+        if now - self.slow_since < c.SLOW_LEADER_S or now - self.handed_over_at < min_gap_s:
             return False
         self.recent_handovers = (
             self.recent_handovers + 1 if now - self.handed_over_at < 2 * min_gap_s else 0
--- a/coveflow/core/fleet.py
+++ b/coveflow/core/fleet.py
@@ -213,7 +213,7 @@
         for name, boot in self.booting.items():
             flavor = flavors.get(boot.flavor)
             nominal = flavor.boot_s if flavor else 60.0
-            if now - boot.since > nominal * c.BOOT_PATIENCE + c.BOOT_PATIENCE_S:
+            if now - boot.since > nominal * c.BOOT_TIMEOUT_FACTOR + c.BOOT_TIMEOUT_EXTRA_S:
                 late.append(name)
         for name in late:
             del self.booting[name]
@@ -386,7 +386,7 @@
         """
         if shortage.waited_s < c.SPOT_REFUSED_S:
             return 0
-        if not shortage.has_started and shortage.waited_s >= c.BEGIN_S:
+        if not shortage.has_started and shortage.waited_s >= c.FIRST_START_S:
             return left
         count = min(left, backlog.extra_tasks_needed(shortage.spec))
         return left if count and shortage.spec.kind == "gang" else count
@@ -455,7 +455,7 @@
             used = m.flavor.cpus - m.cpus
             if not m.placements or used > DRAIN_MAX_USED_FRACTION * m.flavor.cpus:
                 continue
-            if now - m.known_since < c.RETURNED_COST_S:
+            if now - m.known_since < c.MIN_BILLED_S:
                 continue
             jobs = [job_of(p.job) for p in m.placements.values()]
             specs = [job.spec for job in jobs]
@@ -534,7 +534,7 @@
             ample = free - m.flavor.cpus > AMPLE_IDLE_FRACTION * used
             if now - m.idle_since < (soon if ample else wait):
                 continue
-            if now - m.known_since < c.RETURNED_COST_S - m.flavor.boot_s:
+            if now - m.known_since < c.MIN_BILLED_S - m.flavor.boot_s:
                 continue
             if m.ends_at is not None:
                 continue
--- a/coveflow/core/model.py
+++ b/coveflow/core/model.py
@@ -45,9 +45,9 @@
         contain such jobs, so the check is done here and not only on submission.
         """
         for name in ("cpus", "accelerators", "ram_gb", "image_gb"):
-            self._bound(name, c.AMOUNT_LEAST, c.AMOUNT_MOST)
+            self._bound(name, c.AMOUNT_MIN, c.AMOUNT_MAX)
         for name in ("expected_s", "checkpoint_s", "save_s", "deadline_s"):
-            self._bound(name, c.DURATION_LEAST_S, c.DURATION_MOST_S)
+            self._bound(name, c.DURATION_MIN_S, c.DURATION_MAX_S)
 
     def _bound(self, name: str, least: float, most: float) -> None:
         """Clamp one field; zero, negative, None and NaN values are left unchanged."""
@@ -85,21 +85,21 @@
         could make every planning pass fail.
         """
         numbers = {
-            "cpus": (self.cpus, c.AMOUNT_LEAST, c.AMOUNT_MOST),
-            "accelerators": (self.accelerators or c.AMOUNT_LEAST, c.AMOUNT_LEAST, c.AMOUNT_MOST),
-            "ram_gb": (self.ram_gb, 0.0, c.AMOUNT_MOST),
-            "cache_gb": (self.cache_gb, 0.0, c.AMOUNT_MOST),
-            "fetch_gb_per_s": (self.fetch_gb_per_s, c.AMOUNT_LEAST, c.AMOUNT_MOST),
-            "price": (self.price, 0.0, c.AMOUNT_MOST),
-            "spot_price": (self.spot_price, 0.0, c.AMOUNT_MOST),
-            "boot_s": (self.boot_s, 0.0, c.DURATION_MOST_S),
+            "cpus": (self.cpus, c.AMOUNT_MIN, c.AMOUNT_MAX),
+            "accelerators": (self.accelerators or c.AMOUNT_MIN, c.AMOUNT_MIN, c.AMOUNT_MAX),
+            "ram_gb": (self.ram_gb, 0.0, c.AMOUNT_MAX),
+            "cache_gb": (self.cache_gb, 0.0, c.AMOUNT_MAX),
+            "fetch_gb_per_s": (self.fetch_gb_per_s, c.AMOUNT_MIN, c.AMOUNT_MAX),
+            "price": (self.price, 0.0, c.AMOUNT_MAX),
+            "spot_price": (self.spot_price, 0.0, c.AMOUNT_MAX),
+            "boot_s": (self.boot_s, 0.0, c.DURATION_MAX_S),
         }
         for name, (number, least, most) in numbers.items():
             if not least <= number <= most:  # also true for NaN
                 return name
         names = {"name": [self.name], "zones": self.zones}
         for name, texts in names.items():
-            if any(not 0 < len(text) <= c.NAME_MOST for text in texts):
+            if any(not 0 < len(text) <= c.NAME_MAX_CHARS for text in texts):
                 return name
         return ""
 
--- a/coveflow/core/overload.py
+++ b/coveflow/core/overload.py
@@ -31,7 +31,7 @@
         """The share up to `now` (s); older time decays with time constant `BUSY_FADE_S`."""
         elapsed = now - self._at
         if elapsed > 0.0:
-            kept = math.exp(-elapsed / c.BUSY_FADE_S)
+            kept = math.exp(-elapsed / c.BUSY_DECAY_S)
             newest = min(1.0, self._busy_s / elapsed)
             self._share = self._share * kept + newest * (1.0 - kept)
             self._at, self._busy_s = now, 0.0
@@ -53,11 +53,11 @@
     def add_sample(self, seconds: float) -> None:
         """Add the duration of one run, in s."""
         self._samples.append(seconds)
-        del self._samples[: -c.COMPUTE_TRIES]
+        del self._samples[: -c.COMPUTE_SAMPLES]
 
     def best_s(self) -> float:
         """Minimum duration of the reference computation, in s; 0 while unknown."""
-        return min(self._samples) if len(self._samples) == c.COMPUTE_TRIES else 0.0
+        return min(self._samples) if len(self._samples) == c.COMPUTE_SAMPLES else 0.0
 
 
 def reference_computation() -> int:
@@ -73,5 +73,5 @@
 
     `own_s` and `others_s` are values of `ComputeSpeed.best_s`; 0 is unknown and is ignored.
     """
-    slower = own_s > 0.0 and others_s > 0.0 and own_s >= c.SICK_TIMES * others_s
+    slower = own_s > 0.0 and others_s > 0.0 and own_s >= c.SLOW_PROCESS_FACTOR * others_s
     return share >= c.BUSY_SHARE and not slower
--- a/coveflow/core/placement.py
+++ b/coveflow/core/placement.py
@@ -6,7 +6,7 @@
 import math
 from collections.abc import Iterable, Iterator, Mapping
 
-from coveflow.constants import BEGIN_PART, BUCKET_S, LENT_S, READY_S
+from coveflow.constants import FIRST_START_SHARE, READY_S, RESERVED_CAPACITY_WAIT_S, TIMELINE_STEP_S
 from coveflow.core.capacity_index import PoolKey, slowness
 from coveflow.core.model import Job, Spec, max_tasks_per_zone
 from coveflow.core.planner_state import (
@@ -51,10 +51,10 @@
     preempt it there.
     """
     chosen = _choose_machines(job, want, view, state, predicted_s, full, first, False)
-    if chosen or job.placed or state.now - state.arrived_at[job.id] < LENT_S:
+    if chosen or job.placed or state.now - state.arrived_at[job.id] < RESERVED_CAPACITY_WAIT_S:
         return chosen
     if job.spec.kind != "gang":
-        want = min(want, math.ceil(job.spec.tasks * BEGIN_PART))
+        want = min(want, math.ceil(job.spec.tasks * FIRST_START_SHARE))
     return _choose_machines(job, want, view, state, predicted_s, full, first, True)
 
 
@@ -99,7 +99,7 @@
                 # when the team needs them is too late. Those that expected prompt jobs will need
                 # must be free again by the time these jobs are expected.
                 spare[key] = min(
-                    math.floor(have - guaranteed_to_others - demand_rate * i * BUCKET_S)
+                    math.floor(have - guaranteed_to_others - demand_rate * i * TIMELINE_STEP_S)
                     for i, have in enumerate(pool.available(size)[low:high])
                 )
         elif demand_rate or guaranteed_to_others:
--- a/coveflow/core/planner.py
+++ b/coveflow/core/planner.py
@@ -112,7 +112,7 @@
 
     Without overload no job waits that long, so the order of jobs is unaffected.
     """
-    return not job.has_started and state.now - state.arrived_at[job.id] > c.BEGIN_S
+    return not job.has_started and state.now - state.arrived_at[job.id] > c.FIRST_START_S
 
 
 def limit_start_count(job: Job, want: int, state: PlannerState) -> int:
@@ -128,7 +128,7 @@
     if job.errors and not job.done:
         return min(want, max(0, 1 - len(job.placed)))
     if is_starved(job, state):
-        return min(want, math.ceil(job.spec.tasks * c.BEGIN_PART))
+        return min(want, math.ceil(job.spec.tasks * c.FIRST_START_SHARE))
     return want
 
 
@@ -144,7 +144,7 @@
     wants: dict[str, float] = {}
     for job in pending_jobs:
         spec = job.spec
-        aged = state.now - state.arrived_at[job.id] > c.BEGIN_S
+        aged = state.now - state.arrived_at[job.id] > c.FIRST_START_S
         if aged and job.id not in urgent and not (job.errors and not job.done):
             wants[spec.workload] = wants.get(spec.workload, 0.0) + spec.cpus * len(job.pending)
     if not wants:
@@ -154,7 +154,7 @@
         if job.spec.workload in used:
             used[job.spec.workload] += job.spec.cpus * job.attempts
     shares = max_min_shares(
-        {name: wants[name] + used[name] for name in wants}, c.FLOOR_PART * total
+        {name: wants[name] + used[name] for name in wants}, c.LONG_WAIT_SHARE * total
     )
     return {name: share - used[name] for name, share in shares.items() if share > used[name] + EPS}
 
--- a/coveflow/core/planner_state.py
+++ b/coveflow/core/planner_state.py
@@ -225,7 +225,7 @@
     Without `future`, machines with fewer free CPUs than `least` are only counted: in a full fleet
     those are nearly all machines.
     """
-    buckets = max(2, math.ceil(tuning.horizon_s / c.BUCKET_S))
+    buckets = max(2, math.ceil(tuning.horizon_s / c.TIMELINE_STEP_S))
     found = CapacityView({}, flavors=state.flavors)
     jobs = {job.id: job for job in state.jobs} if future else {}
     now, cycle = state.now, tuning.cycle_s
@@ -292,7 +292,7 @@
                 since, predictions.get(name, 60.0) * m.slowdown, now, overrun, cycle
             )
         )
-        bucket = math.ceil(left / c.BUCKET_S - EPS)
+        bucket = math.ceil(left / c.TIMELINE_STEP_S - EPS)
         amounts = (spec.cpus * count, spec.ram_gb * count, spec.accelerators * count)
         found.append((bucket, *amounts))
     found.sort()
@@ -324,7 +324,7 @@
         machines = sum(len(pools[key].capacities) for key in serving)
         for key in serving:
             part = rate * spec.accelerators * len(pools[key].capacities) / machines
-            keep[key] += part * c.READY_S
+            keep[key] += part * c.EXPECTED_WORK_S
             if spec.workload in state.goals:
                 view.expected_demand[key] = view.expected_demand.get(key, 0.0) + part
     machines = sum(len(pool.capacities) for pool in pools.values())
--- a/coveflow/core/redirects.py
+++ b/coveflow/core/redirects.py
@@ -71,7 +71,7 @@
     once all were tried, so that two isolated nodes do not send workers to each other forever.
     """
     tried, since = contact.zone_nodes_tried, contact.zone_nodes_tried_since
-    if not tried or now - since > c.RELAY_SPELL_S:
+    if not tried or now - since > c.RELAY_PERIOD_S:
         tried, since = (), now
     untried = [node for node in zone_nodes if node not in tried]
     if not untried:
--- a/coveflow/core/timeline.py
+++ b/coveflow/core/timeline.py
@@ -124,7 +124,7 @@
         return self.capacities[0].machine.zone
 
     def bucket_index(self, at: float) -> int:
-        return math.ceil((at - self.now) / c.BUCKET_S - EPS)
+        return math.ceil((at - self.now) / c.TIMELINE_STEP_S - EPS)
 
     def _fit_counts(self, size: Size) -> list[int]:
         """Return how many tasks fit from each bucket on, without reservations and new starts."""
@@ -208,7 +208,7 @@
             left[i] = units[i] - taken
 
     def bucket_range(self, start: float, end: float) -> tuple[int, int]:
-        low = min(max(0, math.floor((start - self.now) / c.BUCKET_S + EPS)), self.buckets)
+        low = min(max(0, math.floor((start - self.now) / c.TIMELINE_STEP_S + EPS)), self.buckets)
         return low, min(max(low + 1, self.bucket_index(end)), self.buckets)
 
     def _add_reserved(self, reservation: Reservation) -> None:
@@ -261,7 +261,7 @@
 
     `caps` limits the number of these tasks in each zone; None if zones do not matter.
     """
-    width = max(1, math.ceil(predicted_s / c.BUCKET_S - EPS))
+    width = max(1, math.ceil(predicted_s / c.TIMELINE_STEP_S - EPS))
     tables = [(pool, list(pool.available(size))) for pool in pools if pool.capacities]
     remaining_caps = None if caps is None else dict(caps)
     found: list[tuple[Pool, Reservation]] = []
@@ -278,7 +278,7 @@
                 remaining_caps[pool.zone] -= count
             for i in range(b, min(b + width, len(table))):
                 table[i] -= count
-            start = pool.now + b * c.BUCKET_S
+            start = pool.now + b * c.TIMELINE_STEP_S
             found.append((pool, Reservation(start, start + predicted_s, count, size, job)))
             left -= count
             if left <= 0:
@@ -296,7 +296,7 @@
     most_in_zone: float = math.inf,
 ) -> list[tuple[Pool, Reservation]]:
     """Plan the earliest start, from the next bucket on, at which the pools fit the whole gang."""
-    width = max(1, math.ceil(predicted_s / c.BUCKET_S - EPS))
+    width = max(1, math.ceil(predicted_s / c.TIMELINE_STEP_S - EPS))
     tables = [(pool, pool.available(size)) for pool in pools]
     for b in range(1, limit):
         if sum(table[b] for _, table in tables if table[b] > 0) < tasks:
@@ -308,7 +308,7 @@
             count = min(left, min(table[b : b + width]), zones.remaining(pool.zone))
             if count > 0:
                 zones.add(pool.zone, count)
-                start = pool.now + b * c.BUCKET_S
+                start = pool.now + b * c.TIMELINE_STEP_S
                 found.append((pool, Reservation(start, start + predicted_s, count, size, job)))
                 left -= count
         if left <= 0:
--- a/coveflow/core/zones.py
+++ b/coveflow/core/zones.py
@@ -36,12 +36,13 @@
     @property
     def silent(self) -> bool:
         return (
-            self.machines >= c.ZONE_LEAST and self.silent_machines >= c.ZONE_QUIET * self.machines
+            self.machines >= c.ZONE_MIN_MACHINES
+            and self.silent_machines >= c.ZONE_UNREACHABLE_SHARE * self.machines
         )
 
     @property
     def heard(self) -> bool:
-        return self.machines > 0 and self.silent_machines <= c.ZONE_HEARD * self.machines
+        return self.machines > 0 and self.silent_machines <= c.ZONE_REACHABLE_SHARE * self.machines
 
 
 class Zone(msgspec.Struct, eq=False):
@@ -81,7 +82,7 @@
             if zone.state == GONE:
                 # Its machines are released gradually, so that a zone heard again soon keeps most.
                 zone.release_allowance += (
-                    zone.machines_at_cut / c.ZONE_RETURN_S * min(now - self.updated_at, 1.0)
+                    zone.machines_at_cut / c.ZONE_RELEASE_S * min(now - self.updated_at, 1.0)
                 )
             if zone.state != old_state:
                 zone.since, zone.release_allowance = now, 0.0
@@ -95,7 +96,8 @@
         machines = sum(sample.machines for sample in others)
         return (
             machines > 0
-            and sum(sample.silent_machines for sample in others) <= c.ZONE_HEARD * machines
+            and sum(sample.silent_machines for sample in others)
+            <= c.ZONE_REACHABLE_SHARE * machines
         )
 
     def _advance(self, zone: Zone, sample: ZoneSample, others_heard: bool, now: float) -> None:
@@ -103,7 +105,7 @@
             # If all controllers inside are reachable, none renews leases unnoticed: the machines
             # are dead, as a controller would report them otherwise.
             if sample.silent and sample.lost_controllers and others_heard:
-                decay = (now - zone.heard_again_at) / c.DOUBT_FADE_S
+                decay = (now - zone.heard_again_at) / c.SUSPICION_FORGET_S
                 zone.recent_cuts = max(0.0, zone.recent_cuts - decay) + 1.0
                 zone.state, zone.cut_at, zone.machines_at_cut = (
                     CUT,
@@ -124,11 +126,13 @@
 
         It does once its controllers are reachable, or after a delay, when a new rental will tell.
         """
-        return not sample.lost_controllers or now - zone.since > c.ZONE_CALM_MAX_S
+        return not sample.lost_controllers or now - zone.since > c.ZONE_RECOVERY_MAX_S
 
     def return_s(self, zone: Zone) -> float:
         """s for which a zone counts as returning: doubles with each recent cut."""
-        return min(c.ZONE_CALM_S * 2.0 ** max(0.0, zone.recent_cuts - 1.0), c.ZONE_CALM_MAX_S)
+        return min(
+            c.ZONE_RECOVERY_S * 2.0 ** max(0.0, zone.recent_cuts - 1.0), c.ZONE_RECOVERY_MAX_S
+        )
 
     def unreachable(self) -> set[str]:
         """Zones that would not report anything started there now."""
--- a/coveflow/daemon/commits.py
+++ b/coveflow/daemon/commits.py
@@ -60,7 +60,7 @@
         txn = self._build()
         if txn is not None:
             self.in_flight = txn
-            self.next_commit = now + c.COMMIT_PACE_S
+            self.next_commit = now + c.COMMIT_INTERVAL_S
             self.context.effects("commit", txn)
 
     # --- building ----------------------------------------------------------------------
@@ -74,7 +74,7 @@
         limit = self.params.state.txn_ops
         txn = Txn({VIEW: self.state.rev}, {})
         # At least half of the operations and bytes are reserved for jobs that end.
-        slots = max(1, min(c.SLOTS_TXN, limit // 2))
+        slots = max(1, min(c.SLOTS_PER_TXN, limit // 2))
         draft = txn.draft = self.state.records.draft(slots, c.TXN_BYTES)
         finish: list[Job] = []
         if self._add_jobs(txn, draft, finish):
@@ -158,7 +158,7 @@
                 # fit into the rest.
                 first = not riders
                 riders += encoded_size(job.id, final_record(job, "cancelled"))
-                if riders > c.RIDERS_BYTES and not first:
+                if riders > c.TXN_FINAL_RECORD_BYTES and not first:
                     break
             if len(draft.contents) + len(txn.writes) + 2 > limit - 1 - bool(
                 self.context.final_record_rows
--- a/coveflow/daemon/comparisons.py
+++ b/coveflow/daemon/comparisons.py
@@ -47,7 +47,7 @@
         """
         future = self.waiting.get(job)
         if future is None:
-            if len(self.waiting) >= c.POLL_QUEUE:
+            if len(self.waiting) >= c.POLL_QUEUE_MAX:
                 raise Unavailable("too many polls")
             future = self.waiting[job] = asyncio.get_running_loop().create_future()
             if self.runner is None or self.runner.done():
@@ -68,7 +68,7 @@
                     self._requeue(job, future)
                 elif not future.done():
                     future.set_result(Comparison(not changed, known[job]))
-            await asyncio.sleep(self.store.pace_s(c.POLL_PACE_S, c.POLL_PART))
+            await asyncio.sleep(self.store.pace_s(c.POLL_READ_INTERVAL_S, c.POLL_REQUEST_SHARE))
 
     def _next_batch(self) -> tuple[Waiting, dict[str, AcceptedJob | None], dict[str, int]]:
         """Requests for one transaction, the known states of their jobs, and the matching guards."""
--- a/coveflow/daemon/connectivity.py
+++ b/coveflow/daemon/connectivity.py
@@ -50,7 +50,7 @@
     def leader_lost(self, now: float) -> bool:
         """Whether the leader has been silent for longer than its lease would last after a crash."""
         since = self.peers.suspicion.silent_since(self.inbox.view.leader)
-        return since is not None and now - since > c.CARRY_LOST_S
+        return since is not None and now - since > c.LEADER_LOST_S
 
     # --- the other nodes -----------------------------------------------------------------
 
@@ -90,7 +90,7 @@
 
         Called for every report, so the candidates are refreshed only a few times a second.
         """
-        if now - self.homes_updated_at >= c.HOMES_S:
+        if now - self.homes_updated_at >= c.HOME_NODES_CACHE_S:
             self.home_candidates = {
                 name: self.zones[name]
                 for name in self.inbox.members
@@ -117,6 +117,6 @@
     def _exposed(self, now: float) -> frozenset[str]:
         """Nodes whose workers would fail over to a silent node next; none if most are silent."""
         since = {name: self.peers.suspicion.silent_since(name) for name in self.zones}
-        gone = [n for n, at in since.items() if at is not None and now - at > c.EXPOSED_S]
+        gone = [n for n, at in since.items() if at is not None and now - at > c.SILENT_NEIGHBOUR_S]
         most_gone = 2 * len(gone) > len(self.zones)
         return frozenset() if most_gone else routing.exposed(self.zones, gone)
--- a/coveflow/daemon/direct_requests.py
+++ b/coveflow/daemon/direct_requests.py
@@ -19,7 +19,7 @@
     """State of the direct requests to one machine since its last report."""
 
     next_at: float = 0.0  # earliest time of the next request
-    pause_s: float = c.DIRECT_PAUSE_S
+    pause_s: float = c.DIRECT_RETRY_S
     in_flight: bool = False
 
 
@@ -51,7 +51,7 @@
                 due.append((not stops, state.next_at, m.id, request))
         for name in [name for name in self.requests if name not in self.state.machines]:
             del self.requests[name]
-        room = c.DIRECT_AT_ONCE - sum(state.in_flight for state in self.requests.values())
+        room = c.DIRECT_MAX_IN_FLIGHT - sum(state.in_flight for state in self.requests.values())
         for _, _, name, request in sorted(due)[: max(0, room)]:
             self.requests[name].in_flight = True
             self.context.meters.add("direct requests")
@@ -63,8 +63,8 @@
             return
         state.in_flight = False
         state.next_at = self.context.clock() + state.pause_s
-        backoff_s = min(2 * state.pause_s, c.DIRECT_PAUSE_MAX_S)
-        state.pause_s = c.DIRECT_PAUSE_S if reached else backoff_s
+        backoff_s = min(2 * state.pause_s, c.DIRECT_RETRY_MAX_S)
+        state.pause_s = c.DIRECT_RETRY_S if reached else backoff_s
 
     def _stops(self, m: Machine) -> list[Order]:
         """Stops of cancelled jobs' tasks on the machine; harmless however late they arrive."""
--- a/coveflow/daemon/forwarding.py
+++ b/coveflow/daemon/forwarding.py
@@ -47,7 +47,7 @@
         way = delivery.path_at_home(contact, self.connectivity, now)
         if way is DeliveryPath.BATCH:
             key = (report.machine, report.tenure, report.counter)
-            answer = await self.carrier.ask(key, body, c.CARRY_WAIT_S)
+            answer = await self.carrier.ask(key, body, c.REPORT_BATCH_ANSWER_S)
             if answer is not None:
                 return self._without_cancelled_runs(answer)
             way = delivery.path_after_batch(contact, self.connectivity, now, self.clock())
@@ -61,7 +61,7 @@
         While the answer is in transit, another node may announce a cancellation, and a node that
         knows of it must not order a run of that job. The leader treats an omitted run as lost.
         """
-        return web.Response(body=wire.without_runs(answer, self.inbox.cancelled))
+        return web.Response(body=wire.without_cancelled_runs(answer, self.inbox.cancelled))
 
     async def by_follower(
         self, report: Report, body: bytes, contact: Contact, now: float
--- a/coveflow/daemon/inbox.py
+++ b/coveflow/daemon/inbox.py
@@ -165,5 +165,5 @@
 
     def _note_removed(self, job: str, rev: int) -> None:
         self.removed[job] = max(rev, self.removed.get(job, -1))
-        if len(self.removed) > c.REMOVED_KEPT:
+        if len(self.removed) > c.REMOVED_JOBS_KEPT:
             self.removed.popitem(last=False)
--- a/coveflow/daemon/leader_state.py
+++ b/coveflow/daemon/leader_state.py
@@ -55,7 +55,7 @@
         self.fleet = fleet.Fleet()
         self.predictor = Predictor(tuning.estimators, tuning.decay, tuning.recent)
         # Changes waiting to be committed.
-        self.records = Records(SLOT, int(params.state.value_kb * 1024 * c.SLOT_PART))
+        self.records = Records(SLOT, int(params.state.value_kb * 1024 * c.SLOT_FILL_SHARE))
         self.unsettled: dict[str, int] = {}
         self.ends: dict[str, list[AttemptEnd]] = {}
         self.dirty_jobs: dict[str, None] = {}
@@ -107,7 +107,7 @@
 
     def _add_job(self, entry: AcceptedJob) -> Job:
         spec = entry.spec
-        repeat = self.context.tuning.repeats(spec.workload)
+        repeat = self.context.tuning.may_repeat(spec.workload)
         if not repeat:
             # Spot machines can be reclaimed at any time, and this job must not be restarted.
             spec = msgspec.structs.replace(spec, spot=False)
@@ -169,7 +169,7 @@
             return
         self.accelerator_uses[use] = None
         self.accelerator_uses.move_to_end(use)
-        if len(self.accelerator_uses) > c.USES_KEPT:
+        if len(self.accelerator_uses) > c.ACCELERATOR_USES_KEPT:
             self.accelerator_uses.popitem(last=False)
         class_demand = self.demand.setdefault(job.spec.workload, demand.DemandTracker())
         class_demand.add(job.spec, arrived_at)
--- a/coveflow/daemon/machine_manager.py
+++ b/coveflow/daemon/machine_manager.py
@@ -115,7 +115,7 @@
 
     def tick(self, now: float) -> None:
         """Apply timeouts, which may only cause machines to be returned."""
-        if self.ticked is not None and now - self.ticked > c.STOOD_STILL_S:
+        if self.ticked is not None and now - self.ticked > c.PROCESS_PAUSED_S:
             # The process was paused while its clock went on. Without this check all machines look
             # silent: after a pause of 15 s a leader tried to return the whole fleet, prevented
             # only because another node had become leader by then.
@@ -165,10 +165,10 @@
         returned 0.4 s into an epoch although their reports contained the ends.
         """
         cancel_s = self.params.workers.cancel_s
-        report_wait_s = self.state.since + c.FIRST_REPORTS * self.params.workers.report_s
+        report_wait_s = self.state.since + c.FIRST_REPORT_INTERVALS * self.params.workers.report_s
         report_wait_s -= self.context.clock()
         wall = self.context.wall()
-        return_before = wall - cancel_s * c.CANCEL_RETURN_PART
+        return_before = wall - cancel_s * c.CANCEL_RETURN_SHARE
         in_time = wall - cancel_s + c.CONTACT_MARGIN_S + max(0.0, report_wait_s)
         limit_before = wall - cancel_s
         return {
@@ -245,7 +245,7 @@
         if now - hearing.reported_at >= self.state.report_timeout_s:
             return False
         answered = (
-            now - hearing.answered_at < c.DEAF_GIVE_UP_S
+            now - hearing.answered_at < c.WORKER_GIVE_UP_S
         )  # too recent for an effect to be visible
         paced = hearing.after_timeout and (hearing.suspected or answered)
         return m.id in not_receiving or hearing.task_limit > 0 or paced
@@ -257,7 +257,7 @@
         """
         machines = self.state.machines.values()
         not_receiving = {m.id for m in machines if m.answer_receipt.excluded_from_work}
-        limit = max(1, int(c.DEAF_PART * len(machines)))
+        limit = max(1, int(c.NOT_RECEIVING_RETURN_SHARE * len(machines)))
         return (not_receiving if len(not_receiving) > limit else set(), limit)
 
     def _not_receiving_too_long(self, now: float) -> list[str]:
@@ -265,7 +265,9 @@
         widespread, limit = self._many_not_receiving()
         if widespread:
             self.last_many_not_receiving = now
-        wait_s = self.params.workers.lease_s * (c.DEAF_MANY_LEASES if widespread else c.DEAF_LEASES)
+        wait_s = self.params.workers.lease_s * (
+            c.NOT_RECEIVING_MANY_LEASES if widespread else c.NOT_RECEIVING_LEASES
+        )
         candidates = [
             (m.answer_receipt.not_receiving_since, m.id, m.returning)
             for m in self.state.machines.values()
@@ -302,7 +304,7 @@
     def _update_zones(self, now: float) -> None:
         """Assess each zone by its silent machines and nodes, and log changes of its state."""
         seen = {name: ZoneSample() for name in self.params.zones}
-        quiet_s = 2 * self.params.workers.report_s + c.ZONE_QUIET_S
+        quiet_s = 2 * self.params.workers.report_s + c.ZONE_SILENT_S
         for m in self.state.machines.values():
             if m.returning:
                 continue
@@ -328,7 +330,7 @@
         state = self.state
         state.gone[name] = self.context.clock()
         state.tell("returned", machine=name)
-        if len(state.gone) > c.GONE_KEPT:
+        if len(state.gone) > c.GONE_MACHINES_KEPT:
             state.gone.popitem(last=False)
         state.fleet.mark_gone(name)
         m = state.machines.get(name)
--- a/coveflow/daemon/mailbox.py
+++ b/coveflow/daemon/mailbox.py
@@ -80,9 +80,9 @@
         """`boot` identifies this process; `contacts` holds the machines that it keeps alive."""
         self.key = MAIL + settings.name
         value_bytes = settings.params.state.value_kb * 1024
-        self.max_bytes = int(value_bytes * c.MAIL_PART)  # bytes
+        self.max_bytes = int(value_bytes * c.MAIL_FILL_SHARE)  # bytes
         self.max_report_bytes = int(
-            value_bytes * c.MAIL_ALONE_PART
+            value_bytes * c.MAIL_SINGLE_FILL_SHARE
         )  # a larger report fits in no mail
         self.store, self.boot, self.clock = store, boot, clock
         self.contacts, self.unreadable = contacts, unreadable
@@ -94,14 +94,14 @@
 
     async def ask(self, report: Report, has_end: bool) -> bytes | None:
         """Pass the report to the leader; returns its answer to this report, or None on timeout."""
-        machine, row = report.machine, wire.mail_report(report)
+        machine, row = report.machine, wire.mail_report_row(report)
         size = records.encoded_size(machine, row)
         future: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
         entry = self.pending[machine] = PendingReport(report, row, size, future, has_end)
         if self.writer is None or self.writer.done():
             self.writer = asyncio.create_task(self._write_all())
         try:
-            return await asyncio.wait_for(future, c.MAIL_WAIT_S)
+            return await asyncio.wait_for(future, c.MAIL_ANSWER_S)
         except TimeoutError:
             return None
         finally:
@@ -132,7 +132,7 @@
             except (Unavailable, Conflict) as error:
                 log.debug("writing mail failed", why=error)
                 self.rev = None
-            await asyncio.sleep(c.MAIL_PACE_S)
+            await asyncio.sleep(c.MAIL_INTERVAL_S)
 
     def _next_mail(self) -> Mail:
         """Build the next mail: as many pending reports as fit, those with task ends first.
@@ -142,7 +142,7 @@
         """
         self.number += 1
         mail = Mail(self.boot, {}, self._machines_to_vouch_for(), self.number)
-        size = len(mail.alive) * c.NAME_BYTES
+        size = len(mail.alive) * c.MACHINE_NAME_BYTES
         waiting = [item for item in self.pending.items() if not item[1].written]
         for machine, entry in sorted(waiting, key=lambda item: not item[1].has_end):
             if entry.size <= self.max_report_bytes:
@@ -160,11 +160,11 @@
         as silent.
         """
         now = self.clock()
-        if now - self.vouched_at < c.MAIL_ALIVE_S:
+        if now - self.vouched_at < c.MAIL_ALIVE_INTERVAL_S:
             return []
         self.vouched_at = now
-        most = self.max_bytes // (2 * c.NAME_BYTES)
-        return list(self.contacts.locally_renewed(now, c.MAIL_ALIVE_S))[:most]
+        most = self.max_bytes // (2 * c.MACHINE_NAME_BYTES)
+        return list(self.contacts.locally_renewed(now, c.MAIL_ALIVE_INTERVAL_S))[:most]
 
     async def _write(self, mail: Mail) -> None:
         """Write the mail, guarded by the revision of the last one.
@@ -175,7 +175,7 @@
         if self.rev is None:
             _, self.rev = await self.store.get(self.key)
         value = msgspec.structs.asdict(mail)
-        deadline = self.clock() + c.MAIL_WAIT_S
+        deadline = self.clock() + c.MAIL_ANSWER_S
         self.rev = await self.store.commit_with_retry(
             {self.key: self.rev}, {self.key: value}, deadline, proof=self.key
         )
@@ -192,7 +192,9 @@
         intake: ReportIntake,
         unreadable: MalformedInputLog,
     ) -> None:
-        self.max_bytes = int(settings.params.state.value_kb * 1024 * c.REPLY_PART)  # bytes
+        self.max_bytes = int(
+            settings.params.state.value_kb * 1024 * c.MAIL_REPLY_FILL_SHARE
+        )  # bytes
         self.owner, self.store = owner, store
         self.intake, self.unreadable = intake, unreadable
 
@@ -210,7 +212,7 @@
         ]
         if not tasks:
             return
-        await asyncio.wait(tasks, timeout=c.MAIL_REPLY_S)
+        await asyncio.wait(tasks, timeout=c.MAIL_REPLY_INTERVAL_S)
         replies = Replies(mail.boot, self._ready_answers(reports, tasks))
         try:
             await self.store.commit(
--- a/coveflow/daemon/malformed_input.py
+++ b/coveflow/daemon/malformed_input.py
@@ -6,7 +6,7 @@
 
 from coveflow import wire
 from coveflow.core.model import Report
-from coveflow.logs import Log, Seldom
+from coveflow.logs import Log, LogThrottle
 
 log = Log("coveflow.agents")
 
@@ -16,7 +16,7 @@
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self.clock = clock
-        self.limiter = Seldom()
+        self.limiter = LogThrottle()
 
     def note(self, error: Exception) -> None:
         """Count one report, mail or reply that could not be decoded."""
--- a/coveflow/daemon/node.py
+++ b/coveflow/daemon/node.py
@@ -31,7 +31,7 @@
 from coveflow.net.cloud import CloudClient, NoCapacity
 from coveflow.net.http import Unavailable
 from coveflow.net.machines import MachineClient
-from coveflow.settings import Settings, Tuning, address
+from coveflow.settings import Settings, Tuning, parse_address
 from coveflow.state import keys as sk
 from coveflow.state.store import Conflict, Store
 
@@ -405,7 +405,7 @@
             if now - checked_at >= SUSPICION_CHECK_S:
                 checked_at = now
                 self.peers.update_suspicion()
-            if now - computed_at >= c.COMPUTE_EVERY_S:
+            if now - computed_at >= c.COMPUTE_INTERVAL_S:
                 computed_at = now
                 self._measure_compute_time()
             if now - logged_at >= METERS_LOG_S:
@@ -471,7 +471,7 @@
         ):
             runner = web.ServerRunner(web.Server(handler, access_log=None))
             await runner.setup()
-            host, port = address(where)
+            host, port = parse_address(where)
             await web.TCPSite(runner, host, port, reuse_address=True, backlog=256).start()
             servers.append(runner)
         log.info(
--- a/coveflow/daemon/operators.py
+++ b/coveflow/daemon/operators.py
@@ -61,12 +61,14 @@
                 HeldTasksDecision(release.job, release.tasks, release.again, reply)
             )
         except (wire.Malformed, msgspec.ValidationError) as error:
-            return 400, wire.error(str(error))
+            return 400, wire.error_answer(str(error))
 
     def _trace(self, query: _TraceQuery) -> tuple[int, bytes]:
         trace = self.owner.context.trace
         if trace is None:
-            return 404, wire.error("tracing is disabled; set (trace EVENTS) in the operators' file")
+            return 404, wire.error_answer(
+                "tracing is disabled; set (trace EVENTS) in the operators' file"
+            )
         answer = trace.read(query.epoch, query.after, min(max(query.most, 1), MAX_TRACE_EVENTS))
         view = self.owner.inbox.view
         return 200, wire.pack(
@@ -95,7 +97,7 @@
         except TimeoutError:
             answer = None
         if answer is None:
-            return 503, wire.error(
+            return 503, wire.error_answer(
                 "unknown whether the command was committed; check, then repeat it"
             )
         return (404 if "error" in answer else 200), wire.pack(answer)
--- a/coveflow/daemon/owner.py
+++ b/coveflow/daemon/owner.py
@@ -273,7 +273,7 @@
         try:
             self.commits.history_rev = restore(state, self.inbox, command.rows, now)
         except CorruptRecords:
-            self.no_lead_before = now + c.UNREADABLE_S
+            self.no_lead_before = now + c.UNREADABLE_RETRY_S
             raise
         # Set last: a leader with partial state would start tasks that are already running.
         state.leading, state.rev = command.epoch, command.rev
@@ -287,7 +287,7 @@
         self._publish_counts()
         self.context.effects("leading", state.leading)
         state.pass_due = True
-        self.planning.next_pass = now + c.LEAD_PASS_S
+        self.planning.next_pass = now + c.FIRST_PASS_DELAY_S
 
     def _trace_initial_state(self) -> None:
         """Trace the deployment and the restored state, from which a recorder starts."""
--- a/coveflow/daemon/planning.py
+++ b/coveflow/daemon/planning.py
@@ -56,7 +56,7 @@
         else:
             return
         if self.context.trace is not None and abs(guess_s - job.traced_prediction_s) > (
-            c.GUESS_TOLD * job.traced_prediction_s
+            c.PREDICTION_TRACE_CHANGE * job.traced_prediction_s
         ):
             job.traced_prediction_s = guess_s
             self.state.tell("guess", job=job.id, guess_s=round(guess_s, 3))
@@ -114,10 +114,10 @@
         self.context.meters.add("planning steps", plan.steps)
         if full:
             # Cheap passes continue until then, so that freed resources are reused at once.
-            self.next_full = now + c.PASS_PART * took
+            self.next_full = now + c.PASS_INTERVAL_FACTOR * took
             self.next_pass = now + took + c.EVENT_PASS_S
         else:
-            self.next_pass = now + max(c.EVENT_PASS_S, c.PASS_PART * took)
+            self.next_pass = now + max(c.EVENT_PASS_S, c.PASS_INTERVAL_FACTOR * took)
 
     def _apply_plan(self, plan: planner.Plan, now: float) -> None:
         state = self.state
--- a/coveflow/daemon/report_answers.py
+++ b/coveflow/daemon/report_answers.py
@@ -12,7 +12,7 @@
 from coveflow.daemon.context import NodeContext
 from coveflow.daemon.inbox import Inbox
 from coveflow.daemon.leader_state import LeaderState
-from coveflow.logs import Log, Seldom
+from coveflow.logs import Log, LogThrottle
 
 log = Log("coveflow.owner")
 
@@ -25,7 +25,7 @@
         self.params = context.settings.params
         self.due: list[tuple[float, int, str]] = []  # deadlines of pending answers, a heap
         self.sequence = itertools.count()
-        self.unplaced_log = Seldom()
+        self.unplaced_log = LogThrottle()
 
     def answer_or_hold(
         self,
@@ -41,14 +41,14 @@
         urgent = now - m.resumed_at < self.state.report_timeout_s
         if for_commit and not urgent:
             # Committing these ends often yields the next run for the same worker.
-            pending.deadline = now + c.HOLD_ANSWER_S
+            pending.deadline = now + c.ANSWER_COMMIT_WAIT_S
         elif (
             patient
             and not urgent
             and not self.orders(m, report, peek=True)
             and self._has_free_capacity(m)
         ):
-            pending.deadline = now + c.IDLE_ANSWER_PART * self.params.workers.report_s
+            pending.deadline = now + c.IDLE_ANSWER_SHARE * self.params.workers.report_s
         if pending.deadline > now:
             self.state.pending_answers[m.id] = pending
             heapq.heappush(self.due, (pending.deadline, next(self.sequence), m.id))
--- a/coveflow/daemon/report_handler.py
+++ b/coveflow/daemon/report_handler.py
@@ -70,7 +70,7 @@
             report = wire.read_report(body)
         except wire.Malformed as error:
             self.unreadable.note(error)
-            return web.Response(status=400, body=wire.error(str(error)))
+            return web.Response(status=400, body=wire.error_answer(str(error)))
         now, owner = self.clock(), self.owner
         owner.context.meters.add("reports")
         if not owner.cancellations.may_renew(now):
--- a/coveflow/daemon/report_intake.py
+++ b/coveflow/daemon/report_intake.py
@@ -45,7 +45,7 @@
         reply: asyncio.Future[bytes | None] = asyncio.get_running_loop().create_future()
         self.owner.put(ReportReceived(report, reply, patient))
         try:
-            return await asyncio.wait_for(reply, c.ANSWER_S)
+            return await asyncio.wait_for(reply, c.REPORT_ANSWER_TIMEOUT_S)
         except TimeoutError:
             return None  # the worker's request has timed out by now
 
--- a/coveflow/daemon/reports.py
+++ b/coveflow/daemon/reports.py
@@ -144,7 +144,7 @@
         could reach a session that is already over, so the machine gets work `BACK_S` later.
         """
         patience, since = self.state.report_timeout_s, now - m.resumed_at
-        if new_session or now - m.last_report_at < patience or c.BACK_S <= since < patience:
+        if new_session or now - m.last_report_at < patience or c.RESUME_DELAY_S <= since < patience:
             m.last_report_at = now
             return
         m.last_vouched_at = now
@@ -188,7 +188,7 @@
             # returned: the work would wait until the machine is returned once more. A live
             # machine names this epoch in its next report.
             m.last_report_at, m.last_vouched_at = now - state.report_timeout_s, state.since
-            m.resumed_at = now - c.BACK_S
+            m.resumed_at = now - c.RESUME_DELAY_S
         else:
             # A machine rented in this epoch that now boots can't have been returned before it.
             m.last_report_at = (
@@ -352,5 +352,5 @@
             if p.stopping or job.spec.checkpoint_s <= 0 or not job.may_repeat:
                 continue
             # The actual notice may be half as long as announced, so saving starts at half time.
-            if m.ends_at - now <= 2 * (job.spec.save_s + c.DRAIN_SPARE_S):
+            if m.ends_at - now <= 2 * (job.spec.save_s + c.DRAIN_MARGIN_S):
                 self.state.stop(p, job.spec.save_s + 1.0, "its machine has notice")
--- a/coveflow/daemon/submissions.py
+++ b/coveflow/daemon/submissions.py
@@ -62,7 +62,7 @@
         request times out.
         """
         rate = self.store.changes.rate
-        max_waiting = max(c.SUBMIT_LEAST, int(rate * c.SUBMIT_WAIT_S))
+        max_waiting = max(c.SUBMIT_QUEUE_MIN, int(rate * c.SUBMIT_QUEUE_S))
         waiting, teams = len(self.waiting), len(self.waiting.teams.keys() | {flow[0]})
         if not admission.admits(waiting, self.waiting.waiting_of(flow[0]), teams, max_waiting):
             self.meters.add("submissions refused")
@@ -87,7 +87,7 @@
         """
         changes = self.store.changes
         size = max(int(changes.refill()), int(changes.rate * c.SUBMIT_BATCH_S), 1)
-        return min(size, self.txn_ops, c.SUBMIT_BATCH_MOST)
+        return min(size, self.txn_ops, c.SUBMIT_BATCH_MAX)
 
     async def _write_batch(self, batch: list[Submission], records: dict[str, Any]) -> None:
         guards = {sk.JOB + job: 0 for job in records} | {
@@ -95,7 +95,9 @@
         }
         writes = {sk.JOB + job: record for job, record in records.items()}
         try:
-            revision = await self.store.commit_with_retry(guards, writes, self.clock() + c.SUBMIT_S)
+            revision = await self.store.commit_with_retry(
+                guards, writes, self.clock() + c.SUBMIT_STORE_TIMEOUT_S
+            )
         except Conflict as conflict:
             self._settle_known(batch, {key.rsplit("/", 1)[1] for key in conflict.failed})
         except Exception as error:
--- a/coveflow/daemon/user_api.py
+++ b/coveflow/daemon/user_api.py
@@ -68,30 +68,30 @@
 
     async def _route(self, request: web.BaseRequest) -> web.StreamResponse:
         path, method = request.path, request.method
-        if path == wire.BEAT and method == "POST":
+        if path == wire.REPORT_PATH and method == "POST":
             return await self.handle_report(await read_body(request))
-        if path == wire.UP and method == "GET":
+        if path == wire.HEALTH_PATH and method == "GET":
             return web.Response(status=200 if self.healthy() else 503)
-        if path == wire.WORK and method == "POST":
+        if path == wire.WORK_PATH and method == "POST":
             return await self.submit(await read_body(request))
-        if path.startswith(wire.WORK + "/"):
-            rest = path[len(wire.WORK) + 1 :]
+        if path.startswith(wire.WORK_PATH + "/"):
+            rest = path[len(wire.WORK_PATH) + 1 :]
             if method == "GET" and wire.JOB_ID.fullmatch(rest):
                 return await self.poll(rest)
-            name = rest.removesuffix(wire.ABORT)
+            name = rest.removesuffix(wire.ABORT_PATH)
             if method == "POST" and rest != name and wire.JOB_ID.fullmatch(name):
                 await read_body(request)
                 return await self.abort(name)
         for prefix, serve in self.extra_handlers.items():
             if path.startswith(prefix):
                 return await serve(request)
-        return cbor_response(404, wire.error("no such path or job"))
+        return cbor_response(404, wire.error_answer("no such path or job"))
 
     def healthy(self) -> bool:
         """Whether users should use this node; a store outage seen by all makes none unhealthy."""
         if not self.owner.inbox.flavors:
             return False
-        stale = self.clock() - self.store.contact_at > c.STALE_S
+        stale = self.clock() - self.store.contact_at > c.STORE_CONTACT_STALE_S
         # A node that lost its peers as well cannot answer either: reporting healthy would keep its
         # users on it for the whole partition.
         return not (stale and (self.peers.peer_reaches_store() or self.peers.all_silent()))
@@ -100,17 +100,19 @@
 
     async def submit(self, body: bytes) -> web.StreamResponse:
         try:
-            spec = wire.read_work(body)
+            spec = wire.read_submission(body)
         except wire.Malformed as error:
-            name = wire.work_id(body)
+            name = wire.read_submission_id(body)
             # An accepted job must never get 400, whatever a repeated submission contains.
             known = await self.jobs.status(name) if name else None
-            return job_response(known) if known else cbor_response(400, wire.error(str(error)))
+            return (
+                job_response(known) if known else cbor_response(400, wire.error_answer(str(error)))
+            )
         match await self.jobs.submit(spec):
             case Created(job):
                 return cbor_response(201, wire.job_answer(job, "queued"))
             case Refused(reason):
-                return cbor_response(422, wire.error(reason))
+                return cbor_response(422, wire.error_answer(reason))
             case JobStatus() as known:
                 return job_response(known)
 
@@ -120,7 +122,7 @@
 
     async def poll(self, name: str) -> web.StreamResponse:
         try:
-            async with asyncio.timeout(c.POLL_S):
+            async with asyncio.timeout(c.POLL_STORE_TIMEOUT_S):
                 return job_response(await self.jobs.status(name))
         except TimeoutError as error:
             raise Unavailable("the state service is slow") from error
@@ -151,5 +153,5 @@
 def job_response(known: JobStatus | None) -> web.Response:
     """200 with the job's state, or 404 if there is no such job."""
     if known is None:
-        return cbor_response(404, wire.error("no such job"))
+        return cbor_response(404, wire.error_answer("no such job"))
     return cbor_response(200, wire.job_answer(known.job, known.status, known.done, known.running))
--- a/coveflow/daemon/user_jobs.py
+++ b/coveflow/daemon/user_jobs.py
@@ -239,7 +239,7 @@
         `change` takes the stored record and returns the new one, or None if no change is needed.
         Raises Unavailable or Unsure if the store does not answer.
         """
-        deadline = self.clock() + c.SUBMIT_S
+        deadline = self.clock() + c.SUBMIT_STORE_TIMEOUT_S
         while True:
             value, rev = await self.store.get(sk.JOB + name)
             if value is None:
--- a/coveflow/lab/cluster.py
+++ b/coveflow/lab/cluster.py
@@ -145,7 +145,9 @@
         items = []
         if self.tuning is not None:
             text = self.tuning.read_text(encoding="utf-8")
-            items = [forms.show(item) for item in forms.read(text, str(self.tuning), "coveflow")]
+            items = [
+                forms.format_form(item) for item in forms.read(text, str(self.tuning), "coveflow")
+            ]
         items.append(f"(tes (listen {listen}) (tokens tokens.scm) {more})")
         self.tuning = self.folder / "tuning.scm"
         self.tuning.write_text("(coveflow " + "\n".join(items) + ")\n", encoding="utf-8")
@@ -336,7 +338,7 @@
 async def _healthy(session: aiohttp.ClientSession, node: str) -> bool:
     try:
         async with session.get(
-            f"http://{node}{wire.UP}", timeout=aiohttp.ClientTimeout(total=1.0)
+            f"http://{node}{wire.HEALTH_PATH}", timeout=aiohttp.ClientTimeout(total=1.0)
         ) as response:
             return response.status == 200
     except (aiohttp.ClientError, TimeoutError, OSError):
--- a/coveflow/lab/evening.py
+++ b/coveflow/lab/evening.py
@@ -13,7 +13,7 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from coveflow.client import Client, GaveUp, Refused
+from coveflow.client import Client, RequestRejected, RetriesExhausted
 from coveflow.core.model import Spec
 from coveflow.lab import faults as fl
 from coveflow.lab.check import Broken
@@ -109,7 +109,7 @@
         self.rows.append({"at": clock(), "kind": "submit", "job": spec.id, "spec": spec})
         try:
             await client.submit(spec)
-        except (Refused, GaveUp) as error:
+        except (RequestRejected, RetriesExhausted) as error:
             course.status, self.refused[spec.id] = "refused", str(error)
             self.seen(f"{spec.id} refused: {error}")
             return
--- a/coveflow/lab/experiment.py
+++ b/coveflow/lab/experiment.py
@@ -99,7 +99,7 @@
     if tuning.trace:
         return case.tuning
     items = forms.read(case.tuning.read_text(encoding="utf-8"), str(case.tuning), "coveflow")
-    path.write_text(forms.show(["coveflow", *items, ["trace", 50_000]]), encoding="utf-8")
+    path.write_text(forms.format_form(["coveflow", *items, ["trace", 50_000]]), encoding="utf-8")
     return path
 
 
@@ -135,11 +135,11 @@
             found.factors = [forms.number(key, [word], origin, 0) for word in words]
         elif key == "tuning":
             name = forms.word(key, words[:1], origin)
-            form = forms.show(["coveflow", *words[1:]])
+            form = forms.format_form(["coveflow", *words[1:]])
             s.parse_tuning(form, f"{origin}: tuning {name}")
             found.tunings[name] = form
         elif key == "faults":
-            found.faults = fl.parse(forms.show(["faults", *words]), origin)
+            found.faults = fl.parse(forms.format_form(["faults", *words]), origin)
         else:
             raise forms.FormError(f"{origin}: {key} is not part of an experiment")
     return found
--- a/coveflow/lab/faults.py
+++ b/coveflow/lab/faults.py
@@ -59,7 +59,7 @@
 
 
 def _fault(item: Any, origin: str) -> Fault:
-    shown = forms.show(item)
+    shown = forms.format_form(item)
     if not isinstance(item, list) or len(item) < 4 or item[0] != "at":
         raise forms.FormError(f"{origin}: {shown} is not (at SECONDS KIND WHO (for S) ...)")
     at = forms.number("at", [item[1]], origin, 0)
--- a/coveflow/lab/runner.py
+++ b/coveflow/lab/runner.py
@@ -158,7 +158,7 @@
 
     # --- executors -----------------------------------------------------------------------
 
-    async def go(self) -> wr.Told:
+    async def go(self) -> wr.TaskResult:
         """Lay out, run the executors in their order, collect; how it ended."""
         start = now()
         ran: list[Ran] = []
@@ -177,7 +177,7 @@
             self.notes.append(str(error))
             system = True
         log = self._log(start, ran, outputs)
-        return wr.Told(self.job, self.task, code, system, log)
+        return wr.TaskResult(self.job, self.task, code, system, log)
 
     async def _execute(self, e: tm.Executor) -> Ran:
         command = [self._word(word) for word in e.command]
@@ -309,8 +309,8 @@
             raw = msgspec.json.encode(
                 tm.TaskLog(rows, outputs, None, start, now(), self.notes or None)
             )
-            told = wr.Told(self.job, self.task, 0, False, raw)
-            if len(wr.told_body(told)) <= LOG_BYTES or not (tail or outputs):
+            told = wr.TaskResult(self.job, self.task, 0, False, raw)
+            if len(wr.result_body(told)) <= LOG_BYTES or not (tail or outputs):
                 return raw
             if tail:
                 tail //= 2
--- a/coveflow/lab/serve.py
+++ b/coveflow/lab/serve.py
@@ -34,7 +34,7 @@
 from coveflow.lab.worker import Attempt, Key, Worker
 from coveflow.lab.workload import run_times
 from coveflow.tes import models as tm
-from coveflow.wire import far
+from coveflow.wire import remote
 from coveflow.wire import runner as wr
 
 LOCAL = "127.0.0.1"
@@ -123,29 +123,35 @@
         try:
             return await self._route(who, request)
         except Failed as conflict:
-            return cbor(far.txn_body(conflict.rev, conflict.keys), 409)
+            return cbor(remote.txn_body(conflict.rev, conflict.keys), 409)
         except (Malformed, wire.Malformed, KeyError, ValueError) as error:
-            return cbor(wire.error(str(error)), 400)
+            return cbor(wire.error_answer(str(error)), 400)
         except TooOld:
             return web.Response(status=410)
 
     async def _route(self, who: str, request: web.BaseRequest) -> web.StreamResponse:
         path, method, store = request.path, request.method, self.store
-        if path == wire.COMMIT and method == "POST":
+        if path == wire.COMMIT_PATH and method == "POST":
             return await self._commit(await request.read())
-        if path == wire.CHANGES and method == "GET":
+        if path == wire.CHANGES_PATH and method == "GET":
             return await self._watch(who, request.query)
-        if path == wire.STORE and method == "GET":
+        if path == wire.STORE_PATH and method == "GET":
             return self._list(request.query)
-        if path.startswith(wire.STORE + "/") and method == "GET":
-            row = store.get(path[len(wire.STORE) + 1 :])
+        if path.startswith(wire.STORE_PATH + "/") and method == "GET":
+            row = store.get(path[len(wire.STORE_PATH) + 1 :])
             if row is None:
-                return cbor(far.txn_body(store.rev), 404)
-            return cbor(far.item_body(path[len(wire.STORE) + 1 :], row.value, row.rev, row.grant))
-        if path == wire.HOLDS and method == "POST":
-            return cbor(far.grant_body(store.hold(far.read_life(await request.read()), clock())))
-        if path.startswith(wire.HOLDS + "/"):
-            number = path[len(wire.HOLDS) + 1 :].removesuffix("/renew")
+                return cbor(remote.txn_body(store.rev), 404)
+            return cbor(
+                remote.item_body(path[len(wire.STORE_PATH) + 1 :], row.value, row.rev, row.grant)
+            )
+        if path == wire.LEASES_PATH and method == "POST":
+            return cbor(
+                remote.lease_answer(
+                    store.hold(remote.read_lease_duration(await request.read()), clock())
+                )
+            )
+        if path.startswith(wire.LEASES_PATH + "/"):
+            number = path[len(wire.LEASES_PATH) + 1 :].removesuffix("/renew")
             if method == "POST":
                 good = store.renew(int(number), clock())
                 return web.Response(status=200 if good else 404)
@@ -156,7 +162,7 @@
         return web.Response(status=404)
 
     async def _commit(self, body: bytes) -> web.StreamResponse:
-        guards, writes = far.read_txn(body)
+        guards, writes = remote.read_txn(body)
         if writes and not self.store.changes.take(len(writes), clock()):
             return web.Response(status=429)
         if clock() < self.late_until and writes:
@@ -167,7 +173,7 @@
         rev = self.store.commit(guards, writes, clock())
         if writes:
             self._tell()
-        return cbor(far.txn_body(rev))
+        return cbor(remote.txn_body(rev))
 
     def _late(self, guards: dict[str, int], writes: dict[str, tuple[Any, int | None]]) -> None:
         with contextlib.suppress(Failed, Malformed):
@@ -189,7 +195,7 @@
                 more = True
                 break
             taken.append((key, row.value, row.rev))
-        return cbor(far.rows_body(taken, more, self.store.rev))
+        return cbor(remote.rows_body(taken, more, self.store.rev))
 
     async def _watch(self, who: str, query: Any) -> web.StreamResponse:
         prefix, after = query.get("starts", ""), int(query["after"])
@@ -198,7 +204,7 @@
             if not self._down(who):
                 events = self.store.events(prefix, after)
                 if events or clock() >= ends:
-                    return cbor(far.events_body(self.store.rev, events))
+                    return cbor(remote.events_body(self.store.rev, events))
             with contextlib.suppress(TimeoutError):
                 wait = max(0.01, ends - clock()) if not self._down(who) else 0.1
                 await asyncio.wait_for(self.changed.wait(), min(wait, 1.0))
@@ -263,7 +269,7 @@
     async def _learn(self, worker: Worker, node: str, orders: list[Order]) -> None:
         """Fetch the documents of jobs that nobody uploaded here: they are the task API's."""
         for job in {o.job for o in orders if o.verb == "run"} - set(self.truth.specs):
-            status, body = await self._ask(worker.zone, node, "GET", wr.TASK + job, None)
+            status, body = await self._ask(worker.zone, node, "GET", wr.TASK_PATH + job, None)
             if status != 200:
                 continue
             spec, document = wr.read_task(body)
@@ -290,7 +296,9 @@
             told = await run.go()
             while (worker.name, key) in self.runs:
                 node = self.at.get(worker.name, self.plan["nodes"][0])
-                status, _ = await self._ask(worker.zone, node, "POST", wr.TOLD, wr.told_body(told))
+                status, _ = await self._ask(
+                    worker.zone, node, "POST", wr.RESULT_PATH, wr.result_body(told)
+                )
                 if status == 200:
                     worker.finish(key, clock())
                     self.poke_changed()
@@ -352,18 +360,18 @@
         async def handle(request: web.BaseRequest) -> web.StreamResponse:
             await self.awake[worker.name].wait()  # a hung machine answers when it goes on
             now = clock()
-            if request.path == wire.INSPECT and request.method == "GET":
-                return cbor(far.report_body(worker.report(now)))
-            if request.path == wire.COMMANDS and request.method == "POST":
+            if request.path == wire.INSPECT_PATH and request.method == "GET":
+                return cbor(remote.report_body(worker.report(now)))
+            if request.path == wire.COMMANDS_PATH and request.method == "POST":
                 try:
-                    epoch, tenure, orders = far.read_orders(await request.read())
+                    epoch, tenure, orders = remote.read_orders(await request.read())
                 except (wire.Malformed, KeyError, TypeError):
                     return web.Response(status=400)
                 if epoch is None or tenure is None:
                     return web.Response(status=400)
                 good = worker.commanded({"epoch": epoch, "tenure": tenure}, orders, now)
                 self.poke_changed()
-                return cbor(far.report_body(worker.report(now)), 200 if good else 409)
+                return cbor(remote.report_body(worker.report(now)), 200 if good else 409)
             return web.Response(status=404)
 
         return handle
@@ -381,14 +389,14 @@
                 return
             sent = clock()
             report = worker.report(sent)
-            status, body = await self._post(worker, node, far.report_body(report))
+            status, body = await self._post(worker, node, remote.report_body(report))
             now = clock()
             if not worker.alive:
                 return
             wait = NEXT_S
             if status == 200:
                 try:
-                    epoch, _, orders = far.read_orders(body)
+                    epoch, _, orders = remote.read_orders(body)
                 except wire.Malformed:
                     epoch, orders = None, []
                 await self._learn(worker, node, orders)
@@ -398,7 +406,7 @@
                 self.poke_changed()
                 wait = None
             elif status == 421:
-                to = far.read_redirect(body)
+                to = remote.read_redirect(body)
                 if to in nodes and to != node:
                     node, wait = to, self.random.uniform(0.0, 0.5)
                 else:
@@ -437,7 +445,7 @@
             self._gangs(clock())
 
     async def _post(self, worker: Worker, node: str, body: bytes) -> tuple[int, bytes]:
-        return await self._ask(worker.zone, node, "POST", wire.BEAT, body)
+        return await self._ask(worker.zone, node, "POST", wire.REPORT_PATH, body)
 
     async def _ask(
         self, zone: str, node: str, method: str, path: str, body: bytes | None
@@ -462,27 +470,27 @@
     async def serve_cloud(self, request: web.BaseRequest) -> web.StreamResponse:
         now = clock()
         if now < self.down_until:
-            return cbor(wire.error("trouble"), 503)
+            return cbor(wire.error_answer("trouble"), 503)
         if not self.rate.take(1, now):
             return web.Response(status=429)
         path, method = request.path, request.method
         try:
-            if path == wire.FLAVORS and method == "GET":
-                return cbor(far.flavors_body(self.cloud.priced()))
-            if path == wire.RENTALS and method == "POST":
-                names = self.cloud.rent(*far.read_rental(await request.read()), now)
+            if path == wire.FLAVORS_PATH and method == "GET":
+                return cbor(remote.flavors_body(self.cloud.priced()))
+            if path == wire.RENTALS_PATH and method == "POST":
+                names = self.cloud.rent(*remote.read_rental(await request.read()), now)
                 if not names:
-                    return cbor(wire.error("no capacity"), 503)
-                return cbor(far.hosts_body(names))
-            if path == wire.RENTALS and method == "GET":
+                    return cbor(wire.error_answer("no capacity"), 503)
+                return cbor(remote.hosts_body(names))
+            if path == wire.RENTALS_PATH and method == "GET":
                 most = min(int(request.query.get("most", 500)), 500)
                 rows, more = self.cloud.list(request.query.get("after", ""), most, now)
-                return cbor(far.list_body(rows, more))
-            if path == wire.RETURN and method == "POST":
+                return cbor(remote.list_body(rows, more))
+            if path == wire.RETURN_PATH and method == "POST":
                 self.cloud.give_back(wire.read_hosts(await request.read()), now)
                 return web.Response()
         except (wire.Malformed, ValueError) as error:
-            return cbor(wire.error(str(error)), 400)
+            return cbor(wire.error_answer(str(error)), 400)
         return web.Response(status=404)
 
     # --- the lab's own interface -------------------------------------------------------
--- a/coveflow/lab/site.py
+++ b/coveflow/lab/site.py
@@ -230,7 +230,7 @@
         elif key in ("images", "initial"):
             fields[field_name] = int(forms.number(key, words, at, 0))
         elif key in _FLAGS:
-            fields[field_name] = forms.yes(key, words, at)
+            fields[field_name] = forms.boolean(key, words, at)
         elif key == "types":
             fields["types"] = tuple(forms.word(key, [w], at) for w in words)
         elif key == "deadline":
--- a/coveflow/lab/suspect.py
+++ b/coveflow/lab/suspect.py
@@ -35,7 +35,7 @@
 
 HOLDS = {
     "before": Hold(2.5, 0.6, 1.5),
-    "now": Hold(c.HOLD_LIFE_S, c.HOLD_RENEW_S, c.HOLD_TIMEOUT_S),
+    "now": Hold(c.MEMBER_LEASE_S, c.MEMBER_LEASE_RENEW_S, c.MEMBER_LEASE_TIMEOUT_S),
 }
 
 
@@ -103,7 +103,7 @@
 
 def false_doubts(seen: np.ndarray, raised: Callable[[float, AccrualDetector], bool]) -> int:
     """How often a detector doubted a node that was alive all along."""
-    link, count, at = AccrualDetector(c.PING_S, c.DOUBT_FLOOR_S), 0, float(seen[0])
+    link, count, at = AccrualDetector(c.PING_S, c.SUSPICION_MIN_DEVIATION_S), 0, float(seen[0])
     link.record(at)
     for moment in seen[1:].tolist():
         # The last look before the answer is the one at which the silence was longest.
@@ -125,8 +125,8 @@
     found = []
     for end in ends.tolist():
         last = int(np.searchsorted(seen, end))
-        link = AccrualDetector(c.PING_S, c.DOUBT_FLOOR_S)
-        for moment in seen[max(0, last - c.DOUBT_WINDOW) : last].tolist():
+        link = AccrualDetector(c.PING_S, c.SUSPICION_MIN_DEVIATION_S)
+        for moment in seen[max(0, last - c.SUSPICION_WINDOW) : last].tolist():
             link.record(moment)
         at = end
         while not raised(at, link) and at < end + 60.0:
@@ -140,7 +140,7 @@
 
 
 def accrual(at: float, link: AccrualDetector) -> bool:
-    return link.level(at) >= c.DOUBT_RAISE
+    return link.level(at) >= c.SUSPICION_RAISE_LEVEL
 
 
 def holds(
--- a/coveflow/lab/tasks.py
+++ b/coveflow/lab/tasks.py
@@ -17,7 +17,7 @@
 import aiohttp
 from hdrh.histogram import HdrHistogram
 
-from coveflow.client import GaveUp, Refused
+from coveflow.client import RequestRejected, RetriesExhausted
 from coveflow.lab import faults as fl
 from coveflow.lab import workload
 from coveflow.lab.cluster import Cluster, LabError
@@ -141,17 +141,17 @@
         if rng.random() < 0.2:
             task["resources"] = {"backend_parameters": {"class": "once"}}
         mine = TaskClient(client.session, client.urls, client.token)
-        mine.at = rng.randrange(3)
+        mine.node_index = rng.randrange(3)
         try:
             name = await mine.submit(task, key)
-        except (GaveUp, Refused) as error:
+        except (RetriesExhausted, RequestRejected) as error:
             self.found.wrong.append(f"{key} not accepted: {error}")
             return
         self.known[key] = name
         if rng.random() < 0.3:
             # Submitted again elsewhere, as a client does whose answer was lost.
             again = TaskClient(client.session, client.urls, client.token)
-            again.at = mine.at + 1
+            again.node_index = mine.node_index + 1
             other = await again.submit(task, key)
             if other != name:
                 self.found.wrong.append(f"{key} is {name} and {other}")
@@ -175,7 +175,7 @@
         done = [n for n in self.known.values() if n in self.final]
         names += self.rng.sample(done, min(6, len(done)))
         answers = await asyncio.gather(
-            *(client.once("GET", f"/tasks/{name}", node) for name in names)
+            *(client.request_once("GET", f"/tasks/{name}", node) for name in names)
         )
         for name, (status, found, _) in zip(names, answers, strict=True):
             if status == 200:
@@ -183,7 +183,7 @@
             elif status == 404:
                 self.found.wrong.append(f"{name} is not known to host-{node % 3}")
         if node % 2:
-            status, found, _ = await client.once("GET", "/tasks", node)
+            status, found, _ = await client.request_once("GET", "/tasks", node)
             for row in (found or {}).get("tasks", ()) if status == 200 else ():
                 if row["id"] in self.known.values():
                     self.say(row["id"], row["state"], f"host-{node % 3}'s list")
@@ -192,7 +192,7 @@
         """When all is over, every node says the same of every task, and lists each once."""
         names = set(self.known.values())
         for node in range(3 * LAST_ROUNDS):
-            client.at = node
+            client.node_index = node
             for name in names:
                 found = await client.get(name)
                 self.say(name, found["state"], f"host-{node % 3} at the end")
@@ -238,10 +238,10 @@
         async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as session:
             client = TaskClient(session, cluster.task_urls(), cluster.tokens[TEAM])
             began = time.monotonic()
-            while (await client.once("GET", "/tasks", 0))[0] != 200:  # noqa: ASYNC110
+            while (await client.request_once("GET", "/tasks", 0))[0] != 200:  # noqa: ASYNC110
                 await asyncio.sleep(0.05)
             cold_s = time.monotonic() - began
-            some = [row["id"] for row in (await client.ask("GET", "/tasks"))["tasks"]]
+            some = [row["id"] for row in (await client.request("GET", "/tasks"))["tasks"]]
             some = some or [await client.submit(_quick("first"), "first")]
             result = await _load(client, some, for_s, per_s)
             memory = [_memory_mb(cluster, name) for name in cluster.nodes]
@@ -293,12 +293,12 @@
     async def one(at: float, kind: str, number: int) -> None:
         await asyncio.sleep(max(0.0, began + at - time.monotonic()))
         if kind == "submit":
-            asked = client.once("POST", "/tasks", number, body=_quick(f"load-{number}"))
+            asked = client.request_once("POST", "/tasks", number, body=_quick(f"load-{number}"))
         elif kind == "get":
-            asked = client.once("GET", f"/tasks/{rng.choice(some)}", number)
+            asked = client.request_once("GET", f"/tasks/{rng.choice(some)}", number)
         else:
             query = [("page_size", "100"), ("name_prefix", "tile")]
-            asked = client.once("GET", "/tasks", number, query=query)
+            asked = client.request_once("GET", "/tasks", number, query=query)
         status, _, _ = await asked
         codes[kind][status] = codes[kind].get(status, 0) + 1
         if status == 200:
--- a/coveflow/lab/virtual.py
+++ b/coveflow/lab/virtual.py
@@ -40,7 +40,7 @@
 from coveflow.net.http import Unavailable
 from coveflow.state.keys import VIEW
 from coveflow.state.store import Conflict
-from coveflow.wire import far
+from coveflow.wire import remote
 
 Handler = Callable[[Any], Awaitable[web.StreamResponse]]
 LATE_PART, LATE_S = 0.25, (2.0, 12.0)  # of transactions without an answer, and s to their effect
@@ -239,7 +239,7 @@
         self.world.at(
             at,
             lambda: self.world.places[FLEET].loop.create_task(
-                self._ask(worker.zone, node, "POST", wire.BEAT, body)
+                self._ask(worker.zone, node, "POST", wire.REPORT_PATH, body)
             ),
         )
 
@@ -271,7 +271,7 @@
             await asyncio.sleep(LOST_S)  # it never came
             return web.Response(status=503)
         part, until = self.late_commands
-        held_up = world.now < until and request.path == wire.COMMANDS
+        held_up = world.now < until and request.path == wire.COMMANDS_PATH
         if held_up and world.random.random() < part:
             await asyncio.sleep(world.random.uniform(*COMMAND_LATE_S))
             await self._machine(worker, request)
@@ -289,7 +289,7 @@
         self, worker: Worker, report: Report, answer: bytes, sent: float, made: Made
     ) -> None:
         """The checker looks at each answer that renews the worker's lease."""
-        epoch, _, orders = far.read_orders(answer)
+        epoch, _, orders = remote.read_orders(answer)
         if not worker.alive or worker.tenure != report.tenure or (epoch or 0) < worker.epoch:
             return
         self.world.checker.see({
@@ -556,7 +556,7 @@
                 response = await self.fleet.serve_machine(address, request)
             else:
                 response = await there.handlers[address](request)
-                if request.path == wire.BEAT and response.status == 200:
+                if request.path == wire.REPORT_PATH and response.status == 200:
                     self.made[request.body] = self._made(there, answer_of(response))
             answer: Any = (response.status, answer_of(response))
         except asyncio.CancelledError:
@@ -571,13 +571,13 @@
         assert there.node is not None
         known = there.node.owner.cancellations  # confirmed here, or told by a peer
         with contextlib.suppress(wire.Malformed):
-            _, _, orders = far.read_orders(body)
+            _, _, orders = remote.read_orders(body)
             return Made(self.now, [o.job for o in orders if o.verb == "run" and o.job in known])
         return Made(self.now)
 
     def _fate(self, name: str, request: Request) -> Fate:
         """When this request is carried out, and whether it is answered: most are, at once."""
-        if request.path != wire.COMMIT:
+        if request.path != wire.COMMIT_PATH:
             return Fate()
         chosen = self.fate(name, request)
         if chosen is not None:
@@ -715,12 +715,12 @@
     async def _submit(self, spec: Spec, node: str) -> None:
         names = list(self.controllers)
         began = self.now
-        body = far.work_body(spec)
+        body = remote.submission_body(spec)
         while self.now - began < 60.0:
             sent = self.now
             with contextlib.suppress(aiohttp.ClientError, TimeoutError):
                 async with Session(self, self.places[FLEET]).request(
-                    "POST", f"http://{node}:80{wire.WORK}", data=body,
+                    "POST", f"http://{node}:80{wire.WORK_PATH}", data=body,
                     timeout=aiohttp.ClientTimeout(total=5.0),
                 ) as response:  # fmt: skip
                     self.answers[spec.id] = (response.status, self.now - began)
@@ -748,7 +748,9 @@
         names = list(self.controllers)
         at = names.index(first) if first else 0
         for node in itertools.cycle(names[at:] + names[:at]):
-            if await self._asked(node, "POST", wire.WORK + "/" + job + wire.ABORT, "cancel", job):
+            if await self._asked(
+                node, "POST", wire.WORK_PATH + "/" + job + wire.ABORT_PATH, "cancel", job
+            ):
                 return
             await asyncio.sleep(1.0)
 
@@ -757,26 +759,26 @@
         while self.checker.jobs[job].told not in ("done", "cancelled"):
             await asyncio.sleep(POLL_S)
             node = self.random.choice(list(self.controllers))
-            await self._asked(node, "GET", wire.WORK + "/" + job, "poll", job)
+            await self._asked(node, "GET", wire.WORK_PATH + "/" + job, "poll", job)
 
     def ask(self, job: str, node: str, me: Place | None = None) -> None:
         """One poll for the job at the node, by a user who is at `me`."""
-        path = f"{wire.WORK}/{job}"
+        path = f"{wire.WORK_PATH}/{job}"
         self.places[FLEET].loop.create_task(
             self._asked(node, "GET", path, "poll", job, sent=self.now, me=me)
         )
 
     def repeat(self, job: str, node: str, me: Place | None = None) -> None:
         """The job's submission, once more, at the node."""
-        body = far.work_body(self.checker.jobs[job].spec)
+        body = remote.submission_body(self.checker.jobs[job].spec)
         self.places[FLEET].loop.create_task(
-            self._asked(node, "POST", wire.WORK, "submit", job, body, self.now, me)
+            self._asked(node, "POST", wire.WORK_PATH, "submit", job, body, self.now, me)
         )
 
     def cancel_once(self, job: str, node: str, me: Place | None = None) -> None:
         """One request to cancel the job, which nobody repeats."""
         self.checker.see({"at": self.now, "kind": "cancel", "job": job})
-        path = f"{wire.WORK}/{job}{wire.ABORT}"
+        path = f"{wire.WORK_PATH}/{job}{wire.ABORT_PATH}"
         self.places[FLEET].loop.create_task(
             self._asked(node, "POST", path, "cancel", job, sent=self.now, me=me)
         )
@@ -834,17 +836,19 @@
         if not known_specs:
             return
         spec = self.random.choice(known_specs)
-        lacking = wire.unpack(far.work_body(msgspec.structs.replace(spec, id=self._fresh_id())))
+        lacking = wire.unpack(
+            remote.submission_body(msgspec.structs.replace(spec, id=self._fresh_id()))
+        )
         del lacking[self.random.choice(["pieces", "cpus", "owner", "shape", "bundle"])]
         huge = msgspec.structs.replace(spec, id=self._fresh_id(), cpus=1e6)
         for what, body in (
             ("lacks a field", wire.pack(lacking)),
-            ("fits nothing", far.work_body(huge)),
+            ("fits nothing", remote.submission_body(huge)),
         ):
-            self._odd("POST", wire.WORK, what, wire.work_id(body) or "", body)
+            self._odd("POST", wire.WORK_PATH, what, wire.read_submission_id(body) or "", body)
         unknown = self._fresh_id()
-        self._odd("GET", f"{wire.WORK}/{unknown}", "unknown", unknown)
-        self._odd("POST", f"{wire.WORK}/{unknown}{wire.ABORT}", "unknown", unknown)
+        self._odd("GET", f"{wire.WORK_PATH}/{unknown}", "unknown", unknown)
+        self._odd("POST", f"{wire.WORK_PATH}/{unknown}{wire.ABORT_PATH}", "unknown", unknown)
 
     def _fresh_id(self) -> str:
         """Of a job that nobody submits."""
@@ -868,9 +872,9 @@
         for job, known in list(self.checker.jobs.items()):
             if known.spec is None:
                 continue  # nobody submitted it
-            body = far.work_body(known.spec)
+            body = remote.submission_body(known.spec)
             for path, to, data in (
-                (f"{wire.WORK}/{job}", "poll", None), (wire.WORK, "submit", body),
+                (f"{wire.WORK_PATH}/{job}", "poll", None), (wire.WORK_PATH, "submit", body),
             ):  # fmt: skip
                 self.places[FLEET].loop.create_task(
                     self._asked(
--- a/coveflow/logs.py
+++ b/coveflow/logs.py
@@ -1,7 +1,7 @@
-"""Structured logging: one event name and key=value fields a line, or JSON.
+"""Structured logging: an event name and key=value fields per line, or JSON.
 
-A thin layer on the standard library's logging: `structlog` would be the kin of choice, but its
-import is a tenth of the daemon's start-up time, in which running work may lose its leases.
+A thin layer on the standard library's logging. `structlog` is not used because its import takes a
+tenth of the daemon's start-up time, during which running work may lose its leases.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Log:
-    """A named logger whose calls take an event and its fields; fields cost nothing when off."""
+    """A named logger that takes an event and its fields; a disabled debug or info call is cheap."""
 
     __slots__ = ("_logger",)
 
@@ -41,26 +41,26 @@
         self._logger.exception(event, extra={"fields": fields})
 
 
-class Seldom:
-    """Says when something that comes thousands of times is told: once in `every_s`, with how often.
+class LogThrottle:
+    """Limits a repeated log message to one per `every_s`, with the number of occurrences.
 
-    Wrong input that comes again and again must neither fill the log nor cost a process its time.
+    Repeated invalid input must neither fill the log nor use up a process's time.
     """
 
     def __init__(self, every_s: float = 60.0) -> None:
-        self.every_s, self.count, self.told = every_s, 0, -1e9
+        self.every_s, self.count, self.last_due_at = every_s, 0, -1e9
 
     def due(self, now: float) -> int:
-        """How often it came since it was told, this time included; 0: not to be told yet."""
+        """Occurrences since the last message, including this one; 0 if no message is due yet."""
         self.count += 1
-        if now - self.told < self.every_s:
+        if now - self.last_due_at < self.every_s:
             return 0
-        self.told, count, self.count = now, self.count, 0
+        self.last_due_at, count, self.count = now, self.count, 0
         return count
 
 
-def _word(value: Any) -> str:
-    """One value of a line; what has spaces or quotes is quoted, so that lines can be split."""
+def _format_value(value: Any) -> str:
+    """Format a value for a line; it is quoted if it has spaces or quotes, so lines can be split."""
     if isinstance(value, float):
         return f"{value:.6g}"
     if isinstance(value, list | tuple | set):
@@ -71,8 +71,8 @@
     return json.dumps(text, ensure_ascii=False)
 
 
-class Lines(logging.Formatter):
-    """`time LEVEL logger event key=value ...`"""
+class TextFormatter(logging.Formatter):
+    """Formats a record as `time LEVEL logger event key=value ...`."""
 
     def format(self, record: logging.LogRecord) -> str:
         fields = getattr(record, "fields", {})
@@ -82,7 +82,7 @@
                 record.levelname,
                 record.name,
                 record.getMessage(),
-                *(f"{key}={_word(value)}" for key, value in fields.items()),
+                *(f"{key}={_format_value(value)}" for key, value in fields.items()),
             ]
         )
         if record.exc_info:
@@ -90,8 +90,8 @@
         return line
 
 
-class Json(logging.Formatter):
-    """One JSON object a line, its fields beside `at` (s, time of day), `level` and `event`."""
+class JsonFormatter(logging.Formatter):
+    """Formats a record as JSON: its fields with `at` (s, Unix time), `level` and `event`."""
 
     def format(self, record: logging.LogRecord) -> str:
         entry: dict[str, Any] = {
@@ -107,10 +107,10 @@
 
 
 def configure(stream: TextIO | None = None) -> None:
-    """Log as LOG_LEVEL (error, info, debug) and LOG_FORMAT (text, json) say; to standard error."""
+    """Log to standard error, by LOG_LEVEL (error, info, debug) and LOG_FORMAT (text, json)."""
     level = LEVELS.get(os.environ.get("LOG_LEVEL", "info").lower(), logging.INFO)
     handler = logging.StreamHandler(stream or sys.stderr)
-    json_form = os.environ.get("LOG_FORMAT", "text").lower() == "json"
-    handler.setFormatter(Json() if json_form else Lines())
+    use_json = os.environ.get("LOG_FORMAT", "text").lower() == "json"
+    handler.setFormatter(JsonFormatter() if use_json else TextFormatter())
     logging.basicConfig(level=level, handlers=[handler], force=True)
     logging.getLogger("asyncio").setLevel(logging.WARNING)
--- a/coveflow/membership/leadership.py
+++ b/coveflow/membership/leadership.py
@@ -77,7 +77,7 @@
                 log.debug("lease failed", why=error)
                 await asyncio.sleep(c.RETRY_S)
                 continue
-            await asyncio.sleep(c.HOLD_RENEW_S)
+            await asyncio.sleep(c.MEMBER_LEASE_RENEW_S)
 
     async def _step_down_if_unfit(self) -> None:
         """Hand over leadership when another node is likely to serve better."""
@@ -91,7 +91,7 @@
         if not why:
             return
         try:
-            async with asyncio.timeout(c.HOLD_LIFE_S / 2):  # the lease is not renewed meanwhile
+            async with asyncio.timeout(c.MEMBER_LEASE_S / 2):  # the lease is not renewed meanwhile
                 await self._hand_over(why)
         except TimeoutError as error:
             raise UnknownOutcome("no response to the commit of the new view") from error
@@ -105,9 +105,9 @@
         so that such a delayed write is not mistaken for this node's own when a response is lost.
         """
         _, rev = await self.store.get(key)
-        lease = await self.store.new_lease(c.HOLD_LIFE_S)
+        lease = await self.store.new_lease(c.MEMBER_LEASE_S)
         value = {"zone": self.settings.zone, "lease": lease}
-        deadline = self.clock() + c.HOLD_LIFE_S
+        deadline = self.clock() + c.MEMBER_LEASE_S
         await self.store.commit_with_retry({key: rev}, {key: value}, deadline, lease=lease)
         self.lease, self.joined_at = lease, self.clock()
 
@@ -132,13 +132,13 @@
         new = sk.View(view.epoch + 1, successor, view.members, 0, passed, at=self.wall())
         log.warning("handing over", to=successor, why=why)
         value = sk.encode_view(new)
-        deadline = self.clock() + c.VIEW_WRITE_S
+        deadline = self.clock() + c.VIEW_WRITE_TIMEOUT_S
         rev = await self.store.commit_with_retry({sk.VIEW: view.rev}, {sk.VIEW: value}, deadline)
         await self._apply_rows([(sk.VIEW, value, rev)], None)
         return True
 
     def _is_recent(self, view: sk.View) -> bool:
-        return self.wall() - view.at < c.DOUBT_FADE_S
+        return self.wall() - view.at < c.SUSPICION_FORGET_S
 
     # --- the inbox ---------------------------------------------------------------------
 
@@ -158,13 +158,13 @@
                 # may arrive before the response to that write, and with a long watch its take-over
                 # would wait until the watch ends.
                 poll_soon = self.leaderless_since is not None or self.lease is None
-                watch_s = c.WATCH_PACE_S if poll_soon else c.WATCH_HOLD_S
+                watch_s = c.WATCH_MIN_INTERVAL_S if poll_soon else c.WATCH_WAIT_S
                 after, events, sent = await self._watch(after, watch_s)
                 await self._apply_rows(events, None)
                 self._record_contact(sent)
                 pause = c.RETRY_S
                 # Pacing batches bursts of changes into one response and saves the request budget.
-                pace_s = self.store.pace_s(c.WATCH_PACE_S, c.WATCH_PART)
+                pace_s = self.store.pace_s(c.WATCH_MIN_INTERVAL_S, c.WATCH_REQUEST_SHARE)
                 await asyncio.sleep(max(0.0, pace_s - (self.clock() - opened)))
             except RevisionCompacted:
                 after = None
@@ -194,7 +194,7 @@
             answer = await self.store.watch(sk.INBOX, after, watch_s)
         except UnknownOutcome as error:
             self.unanswered_watches += 1
-            if self.unanswered_watches >= c.WATCH_UNANSWERED and self.store.contact_at > opened:
+            if self.unanswered_watches >= c.WATCH_MAX_UNANSWERED and self.store.contact_at > opened:
                 log.debug("inbox watch gets no response; reading the inbox", why=error)
                 raise RevisionCompacted from error
             raise
@@ -235,9 +235,9 @@
         if self.leaderless_since is None:
             self.leaderless_since = self.clock()
         order = self.succession()
-        wait = c.TURN_S * (order.index(me) if me in order else len(order))
+        wait = c.SUCCESSION_STEP_S * (order.index(me) if me in order else len(order))
         if self.leaving.out:
-            wait += c.TURN_LATE_S  # this node is, or was until recently, isolated
+            wait += c.SUCCESSION_ISOLATED_DELAY_S  # this node is, or was until recently, isolated
         return self.clock() - self.leaderless_since >= wait
 
     def _restart_count(self) -> int:
@@ -252,7 +252,7 @@
 
         Every restart costs the cluster the time to read the records again.
         """
-        return self._restart_count() > c.RETURNS_MOST
+        return self._restart_count() > c.LEADER_MAX_RESUMPTIONS
 
     def _successor_wait_is_over(self) -> bool:
         """Whether a successor is reachable, or the time to wait for one has passed."""
@@ -261,7 +261,7 @@
         others = [name for name in self.succession() if name != self.settings.name]
         if not others or any(map(self.is_reachable, others)):
             return True
-        return self.clock() - self.leaderless_since >= c.HEIR_WAIT_S
+        return self.clock() - self.leaderless_since >= c.SUCCESSOR_WAIT_S
 
     async def _take_over(self) -> int:
         """Raise the epoch with this node as leader, then load the records; returns the revision."""
@@ -278,10 +278,10 @@
         guards, value = self._claimed_view()
         try:
             rev = await self.store.commit_with_retry(
-                guards, {sk.VIEW: value}, self.clock() + c.VIEW_WRITE_S
+                guards, {sk.VIEW: value}, self.clock() + c.VIEW_WRITE_TIMEOUT_S
             )
         except (Conflict, Unavailable):
-            await asyncio.sleep(c.WATCH_PACE_S)
+            await asyncio.sleep(c.WATCH_MIN_INTERVAL_S)
             return await self._list()
         self.retake, self.leaderless_since = False, None
         epoch = value["epoch"]
--- a/coveflow/membership/peers.py
+++ b/coveflow/membership/peers.py
@@ -19,7 +19,7 @@
 from coveflow import constants as c
 from coveflow import wire
 from coveflow.core.failure_detector import FailureDetector
-from coveflow.logs import Log, Seldom
+from coveflow.logs import Log, LogThrottle
 from coveflow.net.http import Client, ConnectionRefused, Unavailable
 from coveflow.settings import Member, Settings
 from coveflow.state.keys import decode_view
@@ -87,7 +87,7 @@
     ages = [info.store_age, *(age for age, _, _ in info.hears.values())]
     if not all(map(math.isfinite, ages)):
         raise wire.Malformed("an age is not a finite number")
-    if not all(0 <= n < wire.COUNTS for n in (info.epoch, info.view_rev, view.epoch)):
+    if not all(0 <= n < wire.COUNTER_LIMIT for n in (info.epoch, info.view_rev, view.epoch)):
         raise wire.Malformed("an epoch or revision is out of range")
     return info
 
@@ -128,7 +128,7 @@
         # Handlers of further paths, such as those of operators' tools: (path, body) to (status,
         # body).
         self.handlers: dict[str, Callable[[str, bytes], Awaitable[tuple[int, bytes]]]] = {}
-        self.unreadable = Seldom()
+        self.unreadable = LogThrottle()
         self.last_contact_at = (
             clock()
         )  # time of the last contact with any peer, in either direction
@@ -224,7 +224,7 @@
 
     def _ping_interval_s(self, name: str) -> float:
         """Seconds between pings to the node; nodes that do not lead ping each other less often."""
-        return c.PING_S if self.leader() in (name, self.settings.name) else c.PING_FAR_S
+        return c.PING_S if self.leader() in (name, self.settings.name) else c.PING_FOLLOWER_S
 
     def apply_status(self, peer: Peer, data: Any, sent: float) -> None:
         """Apply the status in the response to a request sent at `sent`; ignored if malformed.
--- a/coveflow/membership/report_batches.py
+++ b/coveflow/membership/report_batches.py
@@ -86,7 +86,7 @@
         Without these copies the leader received one report in 25 s from such a machine, and
         returned the machines of a zone with a one-way partition as silent.
         """
-        if len(self.observed) < c.CARRY_SEEN:
+        if len(self.observed) < c.REPORT_BATCH_REDIRECTED:
             self.observed[machine] = body
             self.work_available.set()
 
@@ -107,13 +107,13 @@
                 leadership = (peer.boot, self.epoch())
                 new = [report for report in self.waiting.values() if report.sent_to != leadership]
                 now = self.peers.clock()
-                if new or self.observed or now - polled_at >= c.CARRY_POLL_S:
+                if new or self.observed or now - polled_at >= c.REPORT_BATCH_POLL_S:
                     polled_at = now
                     await self._wait_for_free_request()
                     self._start_batch(peer, leadership, next_batch(new))
             else:
                 self.observed.clear()  # outdated by the time the leader is reachable again
-            await asyncio.sleep(c.CARRY_PACE_S)
+            await asyncio.sleep(c.REPORT_BATCH_INTERVAL_S)
 
     def _fail_pending(self) -> None:
         """The leader is unreachable from here: end all waits now rather than at their timeouts."""
@@ -129,11 +129,11 @@
         """
         return (
             self.peers.suspicion.reachable(peer.member.name)
-            or self.peers.clock() - peer.answered_at < c.CARRY_HEARD_S
+            or self.peers.clock() - peer.answered_at < c.REPORT_BATCH_CONTACT_S
         )
 
     async def _wait_for_free_request(self) -> None:
-        if len(self.in_flight) >= c.CARRY_AT_ONCE:
+        if len(self.in_flight) >= c.REPORT_BATCHES_IN_FLIGHT:
             await asyncio.wait(self.in_flight, return_when=asyncio.FIRST_COMPLETED)
 
     def _start_batch(self, peer: Peer, leadership: Leadership, batch: list[PendingReport]) -> None:
@@ -147,7 +147,7 @@
         self, peer: Peer, leadership: Leadership, batch: list[PendingReport]
     ) -> None:
         sent = self.peers.clock()
-        wants_status = sent - peer.answered_at >= c.PING_S * c.CARRY_ASKS
+        wants_status = sent - peer.answered_at >= c.PING_S * c.REPORT_BATCH_STATUS_PINGS
         observed, self.observed = list(self.observed.values()), {}
         body = {
             "boot": self.peers.boot,
@@ -158,7 +158,7 @@
             body["seen"] = observed
         try:
             status, reply = await peer.client.request(
-                "POST", BATCH_PATH, body=wire.pack(body), timeout_s=c.CARRY_TIMEOUT_S
+                "POST", BATCH_PATH, body=wire.pack(body), timeout_s=c.REPORT_BATCH_TIMEOUT_S
             )
             if status != 200:
                 raise Unavailable(f"batch: status {status}")
@@ -197,7 +197,7 @@
     size = 0
     for i, report in enumerate(new):
         size += len(report.body)
-        if size > c.CARRY_BYTES and i:
+        if size > c.REPORT_BATCH_BYTES and i:
             return new[:i]
     return new
 
@@ -234,7 +234,7 @@
         """The answers ready for this home process; those of homes that stopped polling expire."""
         now = self.clock()
         self.polled_at[boot] = now
-        for other in [b for b, at in self.polled_at.items() if now - at > c.CARRY_WAIT_S]:
+        for other in [b for b, at in self.polled_at.items() if now - at > c.REPORT_BATCH_ANSWER_S]:
             del self.polled_at[other]
             self.ready.pop(other, None)
         ready = self.ready.get(boot)
--- a/coveflow/net/cloud.py
+++ b/coveflow/net/cloud.py
@@ -10,7 +10,7 @@
 from coveflow import constants as c
 from coveflow import wire
 from coveflow.core.model import Flavor, ListedMachine
-from coveflow.logs import Log, Seldom
+from coveflow.logs import Log, LogThrottle
 from coveflow.net.http import Client, TokenBucket, Unavailable, UnknownOutcome
 from coveflow.net.meters import Meters
 
@@ -37,7 +37,7 @@
         self.clock, self.meters = clock, meters or Meters()
         self.client = Client(session, address)
         self.rate_limit = TokenBucket(rps, clock)
-        self.unreadable_log = Seldom()
+        self.unreadable_log = LogThrottle()
 
     async def call(
         self,
@@ -58,17 +58,19 @@
         return status, answer
 
     async def flavors(self) -> list[Flavor]:
-        status, body = await self.call("GET", wire.FLAVORS)
+        status, body = await self.call("GET", wire.FLAVORS_PATH)
         if status != 200:
             raise Unavailable(f"cloud: {status}")
         types = self._read(wire.read_flavors, body)
-        self._log_unreadable("machine types", types.unread)
+        self._log_unreadable("machine types", types.skipped)
         return types.flavors
 
     async def rent(self, name: str, flavor: str, zone: str, spot: bool, count: int) -> list[str]:
         """Rent up to `count` machines; idempotent by `name`, so a repeat rents nothing more."""
         status, body = await self.call(
-            "POST", wire.RENTALS, body=wire.rental(name, flavor, zone, spot, min(count, c.MAX_RENT))
+            "POST",
+            wire.RENTALS_PATH,
+            body=wire.rental_body(name, flavor, zone, spot, min(count, c.MAX_RENT)),
         )
         if status == 200:
             return self._read(wire.read_hosts, body)
@@ -79,7 +81,7 @@
     async def return_machines(self, machines: list[str]) -> None:
         """Return machines to the cloud; only status 200 proves that they are gone."""
         status, _ = await self.call(
-            "POST", wire.RETURN, body=wire.returning(machines[: c.MAX_RETURN])
+            "POST", wire.RETURN_PATH, body=wire.return_body(machines[: c.MAX_RETURN])
         )
         if status != 200:
             raise Unavailable(f"cloud: return {status}")
@@ -90,12 +92,12 @@
         after: str | None = None
         while True:
             status, body = await self.call(
-                "GET", wire.RENTALS, query=wire.list_query(after, c.LIST_PAGE)
+                "GET", wire.RENTALS_PATH, query=wire.list_query(after, c.LIST_PAGE)
             )
             if status != 200:
                 raise Unavailable(f"cloud: list {status}")
             page = self._read(wire.read_list, body)
-            self._log_unreadable("rows of the machine list", page.unread)
+            self._log_unreadable("rows of the machine list", page.skipped)
             new = {row.machine: row for row in page.machines if row.machine not in found}
             found |= new
             # A page without new machines ends the listing, in case its pages repeat for ever.
--- a/coveflow/net/machines.py
+++ b/coveflow/net/machines.py
@@ -18,11 +18,11 @@
 
     async def stop(self, address: str, epoch: int, tenure: int, stops: list[Order]) -> Report:
         """Stop tasks; refused, as the report shows, by a newer fencing token or another session."""
-        body = wire.commands(epoch, tenure, stops)
-        return await self._report(address, "POST", wire.COMMANDS, body)
+        body = wire.commands_body(epoch, tenure, stops)
+        return await self._report(address, "POST", wire.COMMANDS_PATH, body)
 
     async def inspect(self, address: str) -> Report:
-        return await self._report(address, "GET", wire.INSPECT, None)
+        return await self._report(address, "GET", wire.INSPECT_PATH, None)
 
     async def _report(self, address: str, method: str, path: str, body: bytes | None) -> Report:
         client = Client(self.session, address)
--- a/coveflow/program.py
+++ b/coveflow/program.py
@@ -1,4 +1,4 @@
-"""The daemon's own command line, kept apart from the toolbox so that it starts in no more time."""
+"""The daemon's command line; it does not import the tools, which would delay the start."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def check(path: Path) -> None:
-    """Read a settings or tuning file; SettingsError names what is wrong with it."""
+    """Validate a settings or tuning file. Raises SettingsError."""
     if path.suffix == ".toml":
         s.load(path)
     else:
@@ -43,7 +43,7 @@
 
 
 def serve(config: Path, tuning_file: Path | None = None) -> int:
-    """Run a controller until it is killed; exit status 130 after Ctrl-C."""
+    """Run a controller until it is killed. Returns the exit status, 130 after Ctrl-C."""
     settings = s.load(config)
     default = Path(sys.argv[0]).resolve().parent / "coveflow.scm"
     tuning = s.Tuning()
--- a/coveflow/settings.py
+++ b/coveflow/settings.py
@@ -1,4 +1,7 @@
-"""Settings: the platform's deploy file (TOML) and the operator's own (S-expressions)."""
+"""Settings: the platform's deploy file (TOML) and the operator's tuning file (S-expressions).
+
+Unknown fields of the deploy file are ignored; unknown keys of the tuning file are errors.
+"""
 
 from __future__ import annotations
 
@@ -11,12 +14,12 @@
 from coveflow import forms
 
 Positive = Annotated[float, msgspec.Meta(gt=0)]
-NotNegative = Annotated[float, msgspec.Meta(ge=0)]
-Share = Annotated[float, msgspec.Meta(ge=0, le=1)]
+NonNegative = Annotated[float, msgspec.Meta(ge=0)]
+Fraction = Annotated[float, msgspec.Meta(ge=0, le=1)]
 
 
 class SettingsError(ValueError):
-    """A settings file is wrong; the text names the file and the field, line or form."""
+    """A settings file is invalid; the text names the file and the field, line or form."""
 
 
 class Member(msgspec.Struct, frozen=True):
@@ -32,10 +35,10 @@
 
 class Team(msgspec.Struct, frozen=True):
     name: str
-    cpus: NotNegative = 0.0
-    cpus_max: NotNegative = 0.0
-    accelerators: NotNegative = msgspec.field(name="gpus", default=0.0)
-    accelerators_max: NotNegative = msgspec.field(name="gpus_max", default=0.0)
+    cpus: NonNegative = 0.0
+    cpus_max: NonNegative = 0.0
+    accelerators: NonNegative = msgspec.field(name="gpus", default=0.0)
+    accelerators_max: NonNegative = msgspec.field(name="gpus_max", default=0.0)
 
 
 class Objective(msgspec.Struct, frozen=True):
@@ -64,7 +67,7 @@
 
 class Cloud(msgspec.Struct, frozen=True):
     rps: Positive
-    list_lag_s: NotNegative = 0.0
+    list_lag_s: NonNegative = 0.0
 
 
 class Resources(msgspec.Struct, frozen=True):
@@ -79,7 +82,7 @@
     state: State
     cloud: Cloud
     size: Annotated[int, msgspec.Meta(ge=1)] = 1
-    clock_error_ms: NotNegative = 0.0
+    clock_error_ms: NonNegative = 0.0
     teams: list[Team] = []
     objectives: list[Objective] = []
     resources: Resources = Resources()
@@ -96,60 +99,63 @@
 
 
 class ClassRules(msgspec.Struct, frozen=True):
-    """What operators say of a class of jobs."""
+    """An operator's rules for a class of jobs."""
 
-    repeat: bool = True  # an attempt that was lost or stopped may be made again
+    repeat: bool = True  # whether a lost or stopped attempt may be repeated
 
 
 class Tes(msgspec.Struct, frozen=True, rename="kebab", forbid_unknown_fields=True):
-    """The GA4GH task execution API: `(tes (port 8090) (tokens FILE) ...)`; without it, none."""
-
-    port: Annotated[int, msgspec.Meta(ge=0, le=65535)] = 0  # on the host of `front`; 0: `listen`
-    listen: dict[str, str] = {}  # address by controller, where one port does not fit all
-    tokens: str = ""  # file of the clients' tokens; relative to the operators' file
-    certificate: str = ""  # PEM files; without them plain HTTP
+    """The GA4GH task execution API: `(tes (port 8090) (tokens FILE) ...)`; without it, disabled."""
+
+    port: Annotated[int, msgspec.Meta(ge=0, le=65535)] = (
+        0  # on the host of `front`; 0: use `listen`
+    )
+    listen: dict[str, str] = {}  # address by controller, if one port does not suit all
+    tokens: str = ""  # file of the clients' tokens, relative to the tuning file
+    certificate: str = ""  # PEM file, like `key`; without them plain HTTP is used
     key: str = ""
-    plain: bool = False  # plain HTTP also beyond loopback
-    part: Annotated[float, msgspec.Meta(gt=0, le=1)] = 0.25  # of this node's share of the store
+    plain: bool = False  # allow plain HTTP beyond loopback
+    part: Annotated[float, msgspec.Meta(gt=0, le=1)] = 0.25  # of this node's store budgets
     retention_h: Positive = 168.0  # h a task is kept after its end
-    body_kb: Annotated[float, msgspec.Meta(gt=0, le=16384)] = 1024.0  # KiB of a request's body
+    body_kb: Annotated[float, msgspec.Meta(gt=0, le=16384)] = 1024.0  # KiB; request body limit
     connections: Annotated[int, msgspec.Meta(ge=1)] = 200
-    slow_s: Positive = 10.0  # s that a client may take over its request
-    page: Annotated[int, msgspec.Meta(ge=1, le=2047)] = 256  # tasks on a page by default
-    image_gb: NotNegative = 1.0  # GB of an image whose client does not say
-    storage: tuple[str, ...] = ("file:///",)  # beginnings of the urls that machines can reach
+    slow_s: Positive = 10.0  # s in which a client must send its request
+    page: Annotated[int, msgspec.Meta(ge=1, le=2047)] = 256  # default number of tasks on a page
+    image_gb: NonNegative = 1.0  # GB of an image if the client gives no size
+    storage: tuple[str, ...] = ("file:///",)  # URL prefixes that machines can reach
     name: str = "coveflow"
     organization: str = "coveflow"
     organization_url: str = "https://example.org"
 
 
 class Tuning(msgspec.Struct, frozen=True, rename="kebab", forbid_unknown_fields=True):
-    """What an operator may tune; one S-expression form `(key value)` each."""
+    """Values that an operator may tune; one S-expression form `(key value)` each."""
 
     cycle_s: Positive = 5.0
     horizon_s: Positive = 300.0
-    wait_s: NotNegative = 60.0
+    wait_s: NonNegative = 60.0
     slope: Positive = 10.0
     stop_ratio: Positive = 1000.0
-    stop_margin: NotNegative = 0.05
+    stop_margin: NonNegative = 0.05
     stop_growth: Annotated[float, msgspec.Meta(ge=1)] = 4.0
     estimators: tuple[str, ...] = ("average", "median", "decay", "recent")
-    decay: Share = 0.5
+    decay: Fraction = 0.5
     recent: Annotated[int, msgspec.Meta(ge=1, le=200)] = 20
-    spare: NotNegative = 0.1
-    idle_s: NotNegative = 20.0
-    trace: Annotated[int, msgspec.Meta(ge=0, le=1_000_000)] = 0  # events kept for a recorder
-    homes: bool = True  # reports go to nodes of the machine's zone, which carry them on
+    spare: NonNegative = 0.1
+    idle_s: NonNegative = 20.0
+    trace: Annotated[int, msgspec.Meta(ge=0, le=1_000_000)] = 0  # trace events kept for a recorder
+    homes: bool = True  # reports go to nodes of the machine's zone, which forward them
     classes: dict[str, ClassRules] = {}
     tes: Tes | None = None
 
-    def repeats(self, workload: str) -> bool:
-        """Whether work of the class may be stopped for other work, moved or made again."""
+    def may_repeat(self, workload: str) -> bool:
+        """Whether work of the class may be preempted, moved or repeated."""
         rules = self.classes.get(workload)
         return rules is None or rules.repeat
 
 
-def address(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
+    """Parse `host:port`."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise ValueError(f"{text!r} is not an address of the form host:port")
@@ -176,7 +182,7 @@
             settings.services.state,
             *(member.address for member in settings.members),
         ):
-            address(text)
+            parse_address(text)
     except (msgspec.ValidationError, ValueError) as error:
         raise SettingsError(f"{origin}: {error}") from error
     return settings
@@ -190,20 +196,20 @@
 
 
 def parse_tuning(text: str, origin: str = "tuning") -> Tuning:
-    """Read `(coveflow (cycle-s 5) (estimators average median) (class NAME (repeat no)) ...)`."""
+    """Parse `(coveflow (cycle-s 5) (estimators average median) (class NAME (repeat no)) ...)`."""
     try:
-        return _tuning(forms.read(text, origin, "coveflow"), origin)
+        return _parse_tuning(forms.read(text, origin, "coveflow"), origin)
     except forms.FormError as error:
         raise SettingsError(str(error)) from error
 
 
-def _tuning(items: list[Any], origin: str) -> Tuning:
+def _parse_tuning(items: list[Any], origin: str) -> Tuning:
     values: dict[str, Any] = {}
     classes: dict[str, ClassRules] = {}
     for item in items:
         key, words = forms.entry(item, origin)
         if key == "class":
-            name, rules = _class(words, origin)
+            name, rules = _parse_class(words, origin)
             if name in classes:
                 raise SettingsError(f"{origin}: class {name} is given twice")
             classes[name] = rules
@@ -211,14 +217,14 @@
         if key == "tes":
             if key in values:
                 raise SettingsError(f"{origin}: tes is given twice")
-            values[key] = _tes(words, origin)
+            values[key] = _parse_tes(words, origin)
             continue
         if key in values:
             raise SettingsError(f"{origin}: {key} is given twice")
         if key == "homes":
-            values[key] = forms.yes(key, words, origin)
+            values[key] = forms.boolean(key, words, origin)
             continue
-        values[key] = words if key == "estimators" else forms.one(key, words, origin)
+        values[key] = words if key == "estimators" else forms.single_value(key, words, origin)
     try:
         tuning = msgspec.convert({**values, "classes": {}}, Tuning)
     except msgspec.ValidationError as error:
@@ -230,8 +236,8 @@
     return msgspec.structs.replace(tuning, classes=classes)
 
 
-def _tes(words: list[Any], origin: str) -> dict[str, Any]:
-    """The values of `(tes (port 8090) (listen (host-0 "127.0.0.1:1")) (plain yes) ...)`."""
+def _parse_tes(words: list[Any], origin: str) -> dict[str, Any]:
+    """Parse the values of `(tes (port 8090) (listen (host-0 "127.0.0.1:1")) (plain yes) ...)`."""
     where = f"{origin}: tes"
     values: dict[str, Any] = {}
     for key, row in forms.table(words, where).items():
@@ -243,12 +249,12 @@
         elif key == "storage":
             values[key] = row
         elif key == "plain":
-            values[key] = forms.yes(key, row, where)
+            values[key] = forms.boolean(key, row, where)
         else:
-            values[key] = forms.one(key, row, where)
+            values[key] = forms.single_value(key, row, where)
     for text in values.get("listen", {}).values():
         try:
-            address(text)
+            parse_address(text)
         except ValueError as error:
             raise SettingsError(f"{where}: listen: {error}") from error
     if not values.get("port") and not values.get("listen"):
@@ -258,11 +264,11 @@
     return values
 
 
-def _class(words: list[Any], origin: str) -> tuple[str, ClassRules]:
+def _parse_class(words: list[Any], origin: str) -> tuple[str, ClassRules]:
     if len(words) < 2 or not isinstance(words[0], str):
         raise SettingsError(f"{origin}: a class is (class NAME (repeat no)), not {words}")
     rules = forms.table(words[1:], f"{origin}: class {words[0]}")
     unknown = sorted(set(rules) - {"repeat"})
     if unknown:
         raise SettingsError(f"{origin}: class {words[0]}: {unknown[0]} is not a rule; repeat is")
-    return words[0], ClassRules(forms.yes("repeat", rules["repeat"], f"{origin}: {words[0]}"))
+    return words[0], ClassRules(forms.boolean("repeat", rules["repeat"], f"{origin}: {words[0]}"))
--- a/coveflow/state/hedged.py
+++ b/coveflow/state/hedged.py
@@ -51,7 +51,7 @@
     async def result(self) -> int:
         """The revision at which it was applied; raises the most informative failure otherwise."""
         self._send()
-        for number, wait_s in enumerate(c.HEDGES_S):
+        for number, wait_s in enumerate(c.COMMIT_HEDGE_DELAYS_S):
             while await self._wait_for_any(wait_s):
                 revision = self._settled()
                 if revision is not None:
--- a/coveflow/state/records.py
+++ b/coveflow/state/records.py
@@ -164,7 +164,7 @@
     def needs_new_slot(self, new_slots: int) -> bool:
         """Whether there are too few slots for overwriting the oldest one to free much space."""
         count = len(self.slots) + new_slots
-        return count < c.SLOTS_MIN or count * self.slot_bytes < c.SLOTS_SPARE * self.bytes
+        return count < c.SLOTS_MIN or count * self.slot_bytes < c.SLOTS_SPARE_FACTOR * self.bytes
 
     def load(self, rows: list[tuple[str, Any, int]]) -> None:
         """Load all slots; CorruptRecords if transactions are missing from their sequence."""
--- a/coveflow/state/store.py
+++ b/coveflow/state/store.py
@@ -62,7 +62,7 @@
             share = 1.0
         self.requests.set_rate(self.limits.rps * share)
         self.changes.set_rate(self.limits.write_rps * share)
-        self.hedge_budget.set_rate(self.limits.write_rps * share * c.HEDGE_PART)
+        self.hedge_budget.set_rate(self.limits.write_rps * share * c.COMMIT_HEDGE_SHARE)
 
     def pace_s(self, least_s: float, part: float) -> float:
         """Seconds between two requests of a kind, at least `least_s`.
@@ -104,7 +104,7 @@
 
     async def get(self, key: str) -> tuple[Any, int]:
         """Value and revision of the key; (None, 0) if it does not exist."""
-        status, body = await self.call("GET", f"{wire.STORE}/{key}")
+        status, body = await self.call("GET", f"{wire.STORE_PATH}/{key}")
         if status == 404:
             return None, 0
         if status != 200:
@@ -131,7 +131,7 @@
     ) -> tuple[list[tuple[str, Any, int]], bool, int]:
         """Rows under the prefix after a key, whether there are more, and the read's revision."""
         status, body = await self.call(
-            "GET", wire.STORE, query=wire.store_query(prefix, after, most)
+            "GET", wire.STORE_PATH, query=wire.store_query(prefix, after, most)
         )
         if status != 200:
             raise Unavailable(f"list {prefix}: {status}")
@@ -160,7 +160,9 @@
     async def _send(
         self, guards: dict[str, int], writes: dict[str, Any], lease: int | None = None
     ) -> int:
-        status, body = await self.call("POST", wire.COMMIT, body=wire.commit(guards, writes, lease))
+        status, body = await self.call(
+            "POST", wire.COMMIT_PATH, body=wire.commit_body(guards, writes, lease)
+        )
         if status == 200:
             return _decode(wire.read_commit, body)
         if status == 409:
@@ -234,7 +236,10 @@
         """Check the rows if that takes few reads; UNKNOWN if the reads fail or are over budget."""
         if not transaction.writes:
             return AppliedCheck(Outcome.FAILED)  # nothing to apply: any copy's conflict is final
-        if len(transaction.keys_to_check) > c.HEDGE_READ or self.requests.refill() < 1.0:
+        if (
+            len(transaction.keys_to_check) > c.COMMIT_HEDGE_MAX_READS
+            or self.requests.refill() < 1.0
+        ):
             return AppliedCheck(Outcome.UNKNOWN)
         try:
             return await self._check_applied(transaction, self.clock())
@@ -278,7 +283,7 @@
         sent_at = self.clock()
         status, body = await self.client.request(
             "GET",
-            wire.CHANGES,
+            wire.CHANGES_PATH,
             query=wire.watch_query(prefix, after, int(wait_s * 1000)),
             timeout_s=wait_s + c.STORE_TIMEOUT_S,
         )
@@ -292,14 +297,16 @@
         return rev, events, sent_at
 
     async def new_lease(self, ttl_s: float) -> int:
-        status, body = await self.call("POST", wire.HOLDS, body=wire.hold(int(ttl_s * 1000)))
+        status, body = await self.call(
+            "POST", wire.LEASES_PATH, body=wire.lease_body(int(ttl_s * 1000))
+        )
         if status != 200:
             raise Unavailable(f"new lease: {status}")
-        return _decode(wire.read_hold, body)
+        return _decode(wire.read_lease, body)
 
     async def renew(self, lease: int) -> None:
         status, _ = await self.call(
-            "POST", f"{wire.HOLDS}/{lease}/renew", timeout_s=c.HOLD_TIMEOUT_S
+            "POST", f"{wire.LEASES_PATH}/{lease}/renew", timeout_s=c.MEMBER_LEASE_TIMEOUT_S
         )
         if status == 404:
             raise LeaseExpired
--- a/coveflow/taskclient.py
+++ b/coveflow/taskclient.py
@@ -9,27 +9,27 @@
 
 import aiohttp
 
-from coveflow.client import GaveUp, Refused
+from coveflow.client import RequestRejected, RetriesExhausted
 
 BASE = "/ga4gh/tes/v1"
-ANSWER_S = 6.0  # s an answer is waited for
-RETRY_S = 0.5  # s between tries at the least
-GIVE_UP_S = 60.0  # s of tries in total
+ANSWER_S = 6.0  # s; timeout of a request
+RETRY_S = 0.5  # s; minimum pause between attempts
+GIVE_UP_S = 60.0  # s after which no further attempt is made
 FINAL = frozenset({"COMPLETE", "EXECUTOR_ERROR", "SYSTEM_ERROR", "CANCELED"})
 
 
 class TaskClient:
-    """`urls` are the nodes' (http://host:port); the next one is asked after a failure."""
+    """Sends requests to one of the nodes (`urls`, http://host:port), the next after a failure."""
 
     def __init__(self, session: aiohttp.ClientSession, urls: list[str], token: str) -> None:
         self.session, self.urls, self.token = session, list(urls), token
-        self.at = 0
+        self.node_index = 0
 
-    async def once(
+    async def request_once(
         self, method: str, path: str, node: int, *, body: Any = None,
         query: list[tuple[str, str]] | None = None, key: str | None = None,
     ) -> tuple[int, Any, float]:  # fmt: skip
-        """One try at one node: status (0: no answer), JSON and the pause asked for, in s."""
+        """Send a request once to one node: status (0: no answer), JSON and `Retry-After` in s."""
         headers = {"Authorization": f"Bearer {self.token}"}
         if key is not None:
             headers["Idempotency-Key"] = key
@@ -39,55 +39,60 @@
                 headers=headers, timeout=aiohttp.ClientTimeout(total=ANSWER_S, sock_connect=0.8),
             ) as response:  # fmt: skip
                 pause = response.headers.get("Retry-After", "")
-                found = await response.json(content_type=None)
-                return response.status, found, float(pause) if pause.isdigit() else 0.0
+                answer = await response.json(content_type=None)
+                return response.status, answer, float(pause) if pause.isdigit() else 0.0
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError):
             return 0, None, 0.0
 
-    async def ask(self, method: str, path: str, **more: Any) -> Any:
-        """Until answered. Raises Refused with the service's sentence, or GaveUp."""
-        began = time.monotonic()
+    async def request(self, method: str, path: str, **more: Any) -> Any:
+        """Send a request until it is answered.
+
+        Raises RequestRejected with the service's message, or RetriesExhausted.
+        """
+        started_at = time.monotonic()
         while True:
-            status, found, pause = await self.once(method, path, self.at, **more)
+            status, answer, pause = await self.request_once(method, path, self.node_index, **more)
             if status == 200:
-                return found
+                return answer
             if status and status not in (408, 429, 503):
-                text = found.get("message", "") if isinstance(found, dict) else ""
-                raise Refused(status, text)
+                text = answer.get("message", "") if isinstance(answer, dict) else ""
+                raise RequestRejected(status, text)
             if status != 429:
-                self.at += 1
-            if time.monotonic() - began > GIVE_UP_S:
-                raise GaveUp(f"{method} {path}: no answer in {GIVE_UP_S:g} s; is a node up?")
+                self.node_index += 1
+            if time.monotonic() - started_at > GIVE_UP_S:
+                raise RetriesExhausted(
+                    f"{method} {path}: no answer in {GIVE_UP_S:g} s; is a node up?"
+                )
             await asyncio.sleep(max(RETRY_S, pause))
 
     async def submit(self, task: dict[str, Any], key: str) -> str:
-        """Submit until accepted; its id. The key makes retries the same task."""
-        return (await self.ask("POST", "/tasks", body=task, key=key))["id"]
+        """Submit until accepted; the task's id. The idempotency key identifies retries."""
+        return (await self.request("POST", "/tasks", body=task, key=key))["id"]
 
     async def get(self, task: str, view: str = "MINIMAL") -> dict[str, Any]:
-        return await self.ask("GET", f"/tasks/{task}", query=[("view", view)])
+        return await self.request("GET", f"/tasks/{task}", query=[("view", view)])
 
     async def cancel(self, task: str) -> None:
-        await self.ask("POST", f"/tasks/{task}:cancel", body={})
+        await self.request("POST", f"/tasks/{task}:cancel", body={})
 
     async def list(
         self, query: list[tuple[str, str]], page_size: int = 256
     ) -> AsyncIterator[dict[str, Any]]:
-        """All tasks that the filters let through, newest first, page by page."""
+        """All tasks that match the filters, newest first, page by page."""
         token = ""
         while True:
-            more = [("page_token", token)] if token else []
-            found = await self.ask(
-                "GET", "/tasks", query=[*query, ("page_size", str(page_size)), *more]
+            page_query = [("page_token", token)] if token else []
+            page = await self.request(
+                "GET", "/tasks", query=[*query, ("page_size", str(page_size)), *page_query]
             )
-            for task in found["tasks"]:
+            for task in page["tasks"]:
                 yield task
-            token = found.get("next_page_token", "")
+            token = page.get("next_page_token", "")
             if not token:
                 return
 
     async def wait(self, task: str, every_s: float = 1.0) -> str:
-        """Its final state."""
+        """Poll until the task reaches a final state, and return it."""
         while True:
             state = (await self.get(task))["state"]
             if state in FINAL:
--- a/coveflow/tes/access.py
+++ b/coveflow/tes/access.py
@@ -73,7 +73,7 @@
     for item in forms.read(text, origin, "tokens"):
         key, words = forms.entry(item, origin)
         if key != "token" or not isinstance(words[0], str) or not NAME.fullmatch(words[0]):
-            raise forms.FormError(f"{origin}: {forms.show(item)} is not (token NAME ...)")
+            raise forms.FormError(f"{origin}: {forms.format_form(item)} is not (token NAME ...)")
         name = words[0]
         where = f"{origin}: token {name}"
         if name in found:
--- a/coveflow/tes/http.py
+++ b/coveflow/tes/http.py
@@ -15,7 +15,7 @@
 from coveflow import wire
 from coveflow.logs import Log
 from coveflow.net.http import Unavailable
-from coveflow.settings import SettingsError, Tes, address
+from coveflow.settings import SettingsError, Tes, parse_address
 from coveflow.tes import models, openapi
 from coveflow.tes.access import Access, Client, Denied
 from coveflow.tes.documents import Damaged
@@ -74,7 +74,7 @@
     def load_certificate(self) -> None:
         """Raises SettingsError naming the files."""
         if self.files is None:
-            host, _ = address(self.where)
+            host, _ = parse_address(self.where)
             if not self.tes.plain and not (host.startswith("127.") or host == "localhost"):
                 raise SettingsError(
                     f"tes: {self.where} is not loopback; give (certificate FILE) and (key FILE),"
@@ -111,7 +111,7 @@
             return _Full() if len(server.connections) >= self.tes.connections else server()
 
         loop = asyncio.get_running_loop()
-        host, port = address(self.where)
+        host, port = parse_address(self.where)
         tls: dict[str, Any] = {}
         if self.context is not None:
             tls = {"ssl": self.context, "ssl_handshake_timeout": self.tes.slow_s}
--- a/coveflow/tes/service.py
+++ b/coveflow/tes/service.py
@@ -31,7 +31,7 @@
 from coveflow.tes.intake import Intake
 from coveflow.tes.ledger import Ledger, logs_of
 from coveflow.tes.models import Refused, State, Task, TaskLog, View
-from coveflow.wire.runner import Told
+from coveflow.wire.runner import TaskResult
 
 log = Log("coveflow.tes")
 
@@ -394,7 +394,7 @@
 
     # --- tasks' own word -----------------------------------------------------------------
 
-    async def told(self, told: Told) -> str:
+    async def told(self, told: TaskResult) -> str:
         """Commit how a task ended, before its machine reports the end; the first word counts.
 
         "kept", "known" (there is a word already) or "over" (the job is). Guarding the accepted
--- a/coveflow/tes/start.py
+++ b/coveflow/tes/start.py
@@ -15,7 +15,7 @@
 from coveflow.daemon.user_api import read_body
 from coveflow.logs import Log
 from coveflow.net.http import Unavailable
-from coveflow.settings import SettingsError, Tes, address
+from coveflow.settings import SettingsError, Tes, parse_address
 from coveflow.tes import models
 from coveflow.tes.access import Access
 from coveflow.tes.collector import Collector
@@ -34,7 +34,7 @@
     """The address this controller listens on. Raises SettingsError where none is said."""
     found = tes.listen.get(name)
     if found is None and tes.port:
-        found = f"{address(front)[0]}:{tes.port}"
+        found = f"{parse_address(front)[0]}:{tes.port}"
     if found is None:
         raise SettingsError(f"tes: listen names no address for {name}, and there is no port")
     return found
@@ -65,8 +65,8 @@
     )  # fmt: skip
     node.owner.context.final_record_rows = ledger.finals
     machines = Machines(service)
-    node.user_api.extra_handlers[runner.TASK] = machines.task
-    node.user_api.extra_handlers[runner.TOLD] = machines.told
+    node.user_api.extra_handlers[runner.TASK_PATH] = machines.task
+    node.user_api.extra_handlers[runner.RESULT_PATH] = machines.told
     for loop in (ledger.run, listener.run, access.follow, collector.run):
         node.loops.append(functools.partial(_kept_up, loop))
     return listener
@@ -90,7 +90,7 @@
         self.service = service
 
     async def task(self, request: web.BaseRequest) -> web.StreamResponse:
-        job = request.path[len(runner.TASK) :]
+        job = request.path[len(runner.TASK_PATH) :]
         if request.method != "GET" or not wire.JOB_ID.fullmatch(job):
             return web.Response(status=404)
         try:
@@ -105,11 +105,11 @@
         if request.method != "POST":
             return web.Response(status=404)
         try:
-            told = runner.read_told(await read_body(request))
+            told = runner.read_result(await read_body(request))
             msgspec.json.decode(told.log, type=models.TaskLog)
             kept = await self.service.told(told)
         except (wire.Malformed, msgspec.DecodeError, Refused) as error:
-            return _cbor(wire.error(str(error)), 400)
+            return _cbor(wire.error_answer(str(error)), 400)
         except (Busy, Unavailable) as error:
             log.debug("a task's word not kept yet", why=error)
             return web.Response(status=503, headers={"Retry-After": "1"})
--- a/coveflow/trace/record.py
+++ b/coveflow/trace/record.py
@@ -24,7 +24,7 @@
 from coveflow.settings import Settings
 from coveflow.state.keys import FINAL_RECORD, JOB
 from coveflow.trace.files import RECORDER, Event, TraceError, Writer
-from coveflow.wire import far
+from coveflow.wire import remote
 
 log = Log("coveflow.trace")
 
@@ -108,7 +108,7 @@
         body = wire.pack({"epoch": epoch, "after": after, "most": most})
         status, answer = await client.request("POST", TRACE, body=body, timeout_s=ASK_TIMEOUT_S)
         if status == 404:
-            raise TraceError(f"{client.base}: {far.read_error(answer)}")
+            raise TraceError(f"{client.base}: {remote.read_error(answer)}")
         if status != 200:
             raise Unavailable(f"trace: {status}")
         return wire.unpack(answer)
@@ -205,7 +205,7 @@
         while True:
             query = wire.store_query(prefix, after, FILL_PAGE)
             status, body = await client.request(
-                "GET", wire.STORE, query=query, timeout_s=ASK_TIMEOUT_S
+                "GET", wire.STORE_PATH, query=query, timeout_s=ASK_TIMEOUT_S
             )
             if status != 200:
                 raise Unavailable(f"list {prefix}: {status}")
--- a/coveflow/whatif/changes.py
+++ b/coveflow/whatif/changes.py
@@ -101,8 +101,8 @@
         if handle is None:
             known = ", ".join(sorted(_HANDLERS))
             raise forms.FormError(f"{origin}: {key} cannot be changed; these can: {known}")
-        handle(changes, words, f"{origin}: {forms.show(item)}", start)
-        changes.said.append(forms.show(item))
+        handle(changes, words, f"{origin}: {forms.format_form(item)}", start)
+        changes.said.append(forms.format_form(item))
     return changes
 
 
@@ -136,7 +136,7 @@
 def _at(table: dict[str, list[Any]], key: str, origin: str, start: float) -> float:
     if key not in table:
         raise forms.FormError(f"{origin}: ({key} TIME) is missing")
-    return when(forms.one(key, table[key], origin), origin, start)
+    return when(forms.single_value(key, table[key], origin), origin, start)
 
 
 def _arrivals(changes: Changes, words: list[Any], origin: str, start: float) -> None:
@@ -181,7 +181,7 @@
 def _machines(changes: Changes, words: list[Any], origin: str, start: float) -> None:
     (name, zone), table = _split(words, 2, origin)
     _known(table, ("count", "spot"), origin)
-    spot = forms.yes("spot", table["spot"], origin) if "spot" in table else False
+    spot = forms.boolean("spot", table["spot"], origin) if "spot" in table else False
     changes.machines[(name, zone, spot)] = int(
         forms.number("count", table.get("count", []), origin)
     )
@@ -200,7 +200,7 @@
     for key, value in forms.table(words, origin).items():
         if key not in known or key in ("classes", "trace"):
             raise forms.FormError(f"{origin}: {key} is no operators' setting")
-        one = value if key == "estimators" else forms.one(key, value, origin)
+        one = value if key == "estimators" else forms.single_value(key, value, origin)
         changes.tuning[key] = one
     try:
         changes.new_tuning(s.Tuning())
@@ -211,7 +211,7 @@
 def _class(changes: Changes, words: list[Any], origin: str, start: float) -> None:
     (name,), table = _split(words, 1, origin)
     _known(table, ("repeat",), origin)
-    changes.classes[name] = s.ClassRules(forms.yes("repeat", table.get("repeat", []), origin))
+    changes.classes[name] = s.ClassRules(forms.boolean("repeat", table.get("repeat", []), origin))
 
 
 def _drain(changes: Changes, words: list[Any], origin: str, start: float) -> None:
--- a/coveflow/whatif/world.py
+++ b/coveflow/whatif/world.py
@@ -243,7 +243,7 @@
         self.crash(name, back_s)
         others = [n for n in self.names if n != name]
         heir = others[0] if others else name
-        wait = c.HOLD_LIFE_S + ELECTION_S if others else back_s + ELECTION_S
+        wait = c.MEMBER_LEASE_S + ELECTION_S if others else back_s + ELECTION_S
         self.at(wait, lambda: self.elect(heir))
 
     def effect(self, name: str, owner: o.Owner, kind: str, data: Any) -> None:
@@ -335,7 +335,7 @@
 
     def _settled(self, txn: cm.Txn) -> None:
         """New work for machines whose heartbeat was left out: its answer would be waiting."""
-        held_s = c.IDLE_ANSWER_PART * self.params.workers.report_s
+        held_s = c.IDLE_ANSWER_SHARE * self.params.workers.report_s
         for p in txn.placed:
             post = self.posts.get(p.machine)
             if post is not None and not post.waiting and self.now - post.skipped < held_s:
