--- a/coveflow/wire/__init__.py
+++ b/coveflow/wire/__init__.py
@@ -1,4 +1,8 @@
-"""The protocol's names and bodies; the only module that knows how a field is spelt."""
+"""Paths and bodies of the protocol; the only module that knows the names of its fields.
+
+Bodies are CBOR maps. Unknown fields are ignored; invalid bodies raise `Malformed`. `None` in a
+transaction's writes removes a key.
+"""
 
 from __future__ import annotations
 
@@ -26,21 +30,21 @@
 KINDS = {"array": "array", "gang": "gang", "standing": "service"}
 PRIORITIES = {"production": 3, "high": 2, "normal": 1, "low": 0}
 JOB_ID = re.compile(r"j-[0-9]{1,40}")
-PIECE = re.compile(r"(j-[0-9]{1,40})/([0-9]{1,6})")
-LAST_TASK = 999_999  # the largest number that a task's name holds
-COUNTS = 2**64  # below it are counts, tokens, tries and sessions
-WORK, BEAT, UP = "/work", "/agent/beat", "/up"
-ABORT = "/abort"
-COMMANDS, INSPECT = "/commands", "/inspect"
-FLAVORS, RENTALS, RETURN = "/flavors", "/rentals", "/rentals/return"
-STORE, COMMIT, HOLDS, CHANGES = "/store", "/commit", "/holds", "/changes"
+TASK_NAME = re.compile(r"(j-[0-9]{1,40})/([0-9]{1,6})")
+MAX_TASK_NUMBER = 999_999  # the largest task number that TASK_NAME matches
+COUNTER_LIMIT = 2**64  # upper bound (exclusive) of counters, epochs, attempt numbers and sessions
+WORK_PATH, REPORT_PATH, HEALTH_PATH = "/work", "/agent/beat", "/up"
+ABORT_PATH = "/abort"
+COMMANDS_PATH, INSPECT_PATH = "/commands", "/inspect"
+FLAVORS_PATH, RENTALS_PATH, RETURN_PATH = "/flavors", "/rentals", "/rentals/return"
+STORE_PATH, COMMIT_PATH, LEASES_PATH, CHANGES_PATH = "/store", "/commit", "/holds", "/changes"
 
 
 class Malformed(ValueError):
-    """A body that cannot be understood; the text says why."""
+    """A body is invalid; the text names the field or the reason."""
 
 
-class _Work(msgspec.Struct):
+class _SubmissionBody(msgspec.Struct):
     name_id: str
     workload: str
     owner: str
@@ -63,7 +67,7 @@
     due_s: float | None = None
 
 
-class _Piece(msgspec.Struct):
+class _TaskBody(msgspec.Struct):
     piece: str
     number: int = msgspec.field(name="try")
     status: str
@@ -71,7 +75,7 @@
     kept: bool | None = None
 
 
-class _Beat(msgspec.Struct):
+class _ReportBody(msgspec.Struct):
     host: str
     endpoint: str
     flavor: str
@@ -81,10 +85,10 @@
     counter: int
     epoch: int
     warning_s: float | None = None
-    pieces: list[_Piece] = []
+    pieces: list[_TaskBody] = []
 
 
-class _Flavor(msgspec.Struct):
+class _FlavorBody(msgspec.Struct):
     sku: str
     cpus: float
     ram_gb: float
@@ -97,7 +101,7 @@
     accelerators: float = 0.0
 
 
-class _Listed(msgspec.Struct):
+class _ListedBody(msgspec.Struct):
     name_id: str
     flavor: str
     site: str
@@ -114,7 +118,7 @@
 def unpack(body: bytes) -> dict[str, Any]:
     try:
         value = cbor2.loads(body)
-    except Exception as error:  # hostile input raises many types, RecursionError among them
+    except Exception as error:  # hostile input raises many types, including RecursionError
         raise Malformed("not CBOR") from error
     if type(value) is not dict:
         raise Malformed("not a map")
@@ -130,12 +134,12 @@
         raise Malformed("unreadable") from error
 
 
-def _is_name(text: str) -> bool:
-    return 0 < len(text) <= c.NAME_MOST and len(json.dumps(text)) <= c.NAME_ESCAPED
+def _is_valid_name(text: str) -> bool:
+    return 0 < len(text) <= c.NAME_MAX_CHARS and len(json.dumps(text)) <= c.NAME_MAX_ESCAPED_BYTES
 
 
-def work_id(body: bytes) -> str | None:
-    """The id in a submission whose other fields may be wrong."""
+def read_submission_id(body: bytes) -> str | None:
+    """The job id of a submission whose other fields may be invalid; None if it has no valid id."""
     try:
         name = unpack(body).get("name_id")
     except Malformed:
@@ -143,8 +147,8 @@
     return name if isinstance(name, str) and JOB_ID.fullmatch(name) else None
 
 
-def read_work(body: bytes) -> Spec:
-    w = _convert(body, _Work)
+def read_submission(body: bytes) -> Spec:
+    w = _convert(body, _SubmissionBody)
     if not JOB_ID.fullmatch(w.name_id):
         raise Malformed("name_id")
     if w.shape not in KINDS:
@@ -170,13 +174,13 @@
     if w.site is not None:
         texts["site"] = w.site
     for name, text in texts.items():
-        if not _is_name(text):
+        if not _is_valid_name(text):
             raise Malformed(name)
-    if not 0 < len(w.bundle) <= c.IMAGE_NAME_MOST or (
-        len(json.dumps(w.bundle)) > c.IMAGE_NAME_ESCAPED
+    if not 0 < len(w.bundle) <= c.IMAGE_NAME_MAX_CHARS or (
+        len(json.dumps(w.bundle)) > c.IMAGE_NAME_MAX_ESCAPED_BYTES
     ):
         raise Malformed("bundle")
-    if w.flavors is not None and (not w.flavors or not all(map(_is_name, w.flavors))):
+    if w.flavors is not None and (not w.flavors or not all(map(_is_valid_name, w.flavors))):
         raise Malformed("flavors")
     return Spec(
         id=w.name_id,
@@ -209,19 +213,19 @@
     return pack(answer)
 
 
-def error(text: str) -> bytes:
+def error_answer(text: str) -> bytes:
     return pack({"error": text})
 
 
 def read_report(body: bytes) -> Report:
-    b = _convert(body, _Beat)
+    b = _convert(body, _ReportBody)
     tasks = []
     for p in b.pieces:
-        match = PIECE.fullmatch(p.piece)
+        match = TASK_NAME.fullmatch(p.piece)
         if not match:
             raise Malformed("piece")
         tasks.append(TaskReport(match[1], int(match[2]), p.number, p.status, p.cause, bool(p.kept)))
-    return _checked(
+    return _validate_report(
         Report(
             machine=b.host,
             address=b.endpoint,
@@ -237,8 +241,8 @@
     )
 
 
-def _checked(report: Report) -> Report:
-    """The report, if all of it is in range, whichever way it came."""
+def _validate_report(report: Report) -> Report:
+    """Return the report if all its values are in range; raise Malformed otherwise."""
     texts = {
         "host": report.machine,
         "endpoint": report.address,
@@ -246,7 +250,7 @@
         "site": report.zone,
     }
     for name, text in texts.items():
-        if not _is_name(text):
+        if not _is_valid_name(text):
             raise Malformed(name)
     counts = {
         "tenure": (report.tenure, 1),
@@ -254,20 +258,20 @@
         "epoch": (report.epoch, 0),
     }
     for name, (number, least) in counts.items():
-        if not least <= number < COUNTS:
+        if not least <= number < COUNTER_LIMIT:
             raise Malformed(name)
-    if report.notice_s is not None and not abs(report.notice_s) <= c.DURATION_MOST_S:
+    if report.notice_s is not None and not abs(report.notice_s) <= c.DURATION_MAX_S:
         raise Malformed("warning_s")
     for t in report.tasks:
-        if not JOB_ID.fullmatch(t.job) or not 0 <= t.task <= LAST_TASK:
+        if not JOB_ID.fullmatch(t.job) or not 0 <= t.task <= MAX_TASK_NUMBER:
             raise Malformed("piece")
-        if not 0 <= t.number < COUNTS:
+        if not 0 <= t.number < COUNTER_LIMIT:
             raise Malformed("try")
     return report
 
 
-def mail_report(report: Report) -> list[Any]:
-    """A report as it goes through the store: tasks of one job in one state share a row."""
+def mail_report_row(report: Report) -> list[Any]:
+    """Encode a report for the store's mailbox; tasks of a job in the same state share a row."""
     jobs: dict[str, dict[tuple[int, str, str | None, bool], list[int]]] = {}
     for t in report.tasks:
         rows = jobs.setdefault(t.job, {})
@@ -289,53 +293,56 @@
             TaskReport(job, task, number, state, why, saved)
             for job, rows in jobs.items()
             for number, state, why, saved, flat in rows
-            for task in _tasks(flat)
+            for task in _decode_tasks(flat)
         ]
-        # Checked like a worker's own: one that named a text as its session would end the lead.
+        # Validated like a report from a worker: a session that is not an integer would make the
+        # leader fail.
         report = msgspec.to_builtins(Report(machine, *head, tasks))
-        return _checked(msgspec.convert(report, Report))
+        return _validate_report(msgspec.convert(report, Report))
     except (AttributeError, TypeError, ValueError, OverflowError) as error:
         raise Malformed(str(error)) from error
 
 
-def _tasks(flat: list[int]) -> list[int]:
-    """Task numbers of starts and lengths; no more of them than a job may have."""
+def _decode_tasks(flat: list[int]) -> list[int]:
+    """Decode ranges of (start, length) to task numbers; Malformed if a job cannot have as many."""
     if sum(flat[1::2]) > c.MAX_TASKS:
         raise Malformed("too many tasks")
     return decode_ranges(flat)
 
 
 def orders_answer(epoch: int, orders: list[Order]) -> bytes:
-    return pack({"epoch": epoch, "orders": [_order(order) for order in orders]})
+    return pack({"epoch": epoch, "orders": [_order_row(order) for order in orders]})
 
 
-def without_runs(body: bytes, cancelled: Callable[[str], bool]) -> bytes:
-    """An answer to a worker without its runs of cancelled jobs, the same bytes if it has none."""
+def without_cancelled_runs(body: bytes, cancelled: Callable[[str], bool]) -> bytes:
+    """The answer to a worker without the run orders of cancelled jobs; unchanged if it has none."""
     if b"run" not in body:
         return body
     data = unpack(body)
-    kept = [
-        piece
-        for piece in data["orders"]
-        if piece["verb"] != "run" or not cancelled(piece["piece"].rpartition("/")[0])
+    remaining = [
+        order
+        for order in data["orders"]
+        if order["verb"] != "run" or not cancelled(order["piece"].rpartition("/")[0])
     ]
-    return body if len(kept) == len(data["orders"]) else pack({**data, "orders": kept})
+    return body if len(remaining) == len(data["orders"]) else pack({**data, "orders": remaining})
 
 
-def _order(order: Order) -> dict[str, Any]:
-    piece: dict[str, Any] = {
+def _order_row(order: Order) -> dict[str, Any]:
+    row: dict[str, Any] = {
         "verb": order.verb,
         "piece": f"{order.job}/{order.task}",
         "try": order.number,
     }
     if order.verb == "stop":
-        piece["wind_down_s"] = order.grace_s
-    return piece
+        row["wind_down_s"] = order.grace_s
+    return row
 
 
-def commands(epoch: int, tenure: int, orders: list[Order]) -> bytes:
-    """Direct commands: carried out only if token and session still match."""
-    return pack({"epoch": epoch, "tenure": tenure, "orders": [_order(order) for order in orders]})
+def commands_body(epoch: int, tenure: int, orders: list[Order]) -> bytes:
+    """Direct commands, which a worker executes only if epoch and session still match."""
+    return pack(
+        {"epoch": epoch, "tenure": tenure, "orders": [_order_row(order) for order in orders]}
+    )
 
 
 def redirect_answer(member: str) -> bytes:
@@ -345,20 +352,20 @@
 # --- cloud -----------------------------------------------------------------------------
 
 
-class Types(msgspec.Struct):
-    """The cloud's machine types."""
+class MachineTypes(msgspec.Struct):
+    """The cloud's machine types; an invalid type is skipped and does not affect the others."""
 
     flavors: list[Flavor]
-    unread: list[str]  # why rows were left out: one bad type must not keep the others from use
+    skipped: list[str]  # reasons for which rows were skipped
 
 
-def read_flavors(body: bytes) -> Types:
-    types = Types([], [])
-    for row in _rows(unpack(body), "flavors"):
+def read_flavors(body: bytes) -> MachineTypes:
+    types = MachineTypes([], [])
+    for row in _list_field(unpack(body), "flavors"):
         try:
-            f = msgspec.convert(row, _Flavor)
+            f = msgspec.convert(row, _FlavorBody)
         except (msgspec.ValidationError, TypeError, OverflowError) as error:
-            types.unread.append(str(error))
+            types.skipped.append(str(error))
             continue
         flavor = Flavor(
             name=f.sku,
@@ -372,56 +379,56 @@
             boot_s=f.ready_s,
             zones=f.sites,
         )
-        fault = flavor.invalid_field()
-        if fault:
-            types.unread.append(f"{f.sku[: c.NAME_MOST]}: {fault}")
+        invalid = flavor.invalid_field()
+        if invalid:
+            types.skipped.append(f"{f.sku[: c.NAME_MAX_CHARS]}: {invalid}")
         else:
             types.flavors.append(flavor)
     return types
 
 
-def _rows(data: dict[str, Any], name: str) -> list[Any]:
+def _list_field(data: dict[str, Any], name: str) -> list[Any]:
     rows = data.get(name)
     if not isinstance(rows, list):
         raise Malformed(name)
     return rows
 
 
-def rental(name: str, flavor: str, zone: str, spot: bool, count: int) -> bytes:
+def rental_body(name: str, flavor: str, zone: str, spot: bool, count: int) -> bytes:
     return pack({"rental": name, "flavor": flavor, "site": zone, "borrowed": spot, "number": count})
 
 
 def read_hosts(body: bytes) -> list[str]:
-    return [host for host in _rows(unpack(body), "hosts") if isinstance(host, str)]
+    return [host for host in _list_field(unpack(body), "hosts") if isinstance(host, str)]
 
 
-def returning(machines: list[str]) -> bytes:
+def return_body(machines: list[str]) -> bytes:
     return pack({"hosts": machines})
 
 
-def list_query(after: str | None, most: int) -> dict[str, str]:
-    return {"most": str(most)} | ({"after": after} if after else {})
+def list_query(after: str | None, limit: int) -> dict[str, str]:
+    return {"most": str(limit)} | ({"after": after} if after else {})
 
 
 class ListPage(msgspec.Struct):
-    """A page of the cloud's machine list."""
+    """A page of the cloud's list of machines."""
 
     machines: list[ListedMachine]
     has_next: bool
-    unread: list[str]  # why rows were left out
+    skipped: list[str]  # reasons for which rows were skipped
 
 
 def read_list(body: bytes) -> ListPage:
     data = unpack(body)
     page = ListPage([], data.get("has_next") is True, [])
-    for row in _rows(data, "hosts"):
+    for row in _list_field(data, "hosts"):
         try:
-            r = msgspec.convert(row, _Listed)
+            r = msgspec.convert(row, _ListedBody)
         except (msgspec.ValidationError, TypeError, OverflowError) as error:
-            page.unread.append(str(error))
+            page.skipped.append(str(error))
             continue
-        if not _is_name(r.name_id) or not 0.0 <= r.held_s <= c.DURATION_MOST_S:
-            page.unread.append(f"{r.name_id[: c.NAME_MOST]}: name or age")
+        if not _is_valid_name(r.name_id) or not 0.0 <= r.held_s <= c.DURATION_MAX_S:
+            page.skipped.append(f"{r.name_id[: c.NAME_MAX_CHARS]}: name or age")
             continue
         page.machines.append(
             ListedMachine(
@@ -434,8 +441,8 @@
 # --- state service ---------------------------------------------------------------------
 
 
-def commit(guards: dict[str, int], writes: dict[str, Any], grant: int | None = None) -> bytes:
-    """A transaction; a write of None removes its key."""
+def commit_body(guards: dict[str, int], writes: dict[str, Any], grant: int | None = None) -> bytes:
+    """A transaction: guards are expected revisions by key; a write of None removes its key."""
     changes: list[dict[str, Any]] = []
     for key, value in writes.items():
         if value is None:
@@ -452,61 +459,61 @@
     )
 
 
-class _Item(msgspec.Struct):
+class _ItemBody(msgspec.Struct):
     value: Any
     key_rev: int
 
 
-class _Row(msgspec.Struct):
+class _RowBody(msgspec.Struct):
     key: str
     value: Any
     key_rev: int
 
 
-class _Page(msgspec.Struct):
-    rows: list[_Row]
+class _PageBody(msgspec.Struct):
+    rows: list[_RowBody]
     store_rev: int
     has_next: bool | None = None
 
 
-class _Commit(msgspec.Struct):
+class _CommitBody(msgspec.Struct):
     store_rev: int
 
 
-class _Conflict(msgspec.Struct):
+class _ConflictBody(msgspec.Struct):
     failed: list[str] | None = None
 
 
-class _Hold(msgspec.Struct):
+class _LeaseBody(msgspec.Struct):
     grant: int
 
 
-class _Changes(msgspec.Struct):
+class _ChangesBody(msgspec.Struct):
     store_rev: int
     events: list[dict[str, Any]] | None = None
 
 
 def read_commit(body: bytes) -> int:
-    return _convert(body, _Commit).store_rev
+    return _convert(body, _CommitBody).store_rev
 
 
 def read_conflict(body: bytes) -> list[str]:
-    return _convert(body, _Conflict).failed or []
+    return _convert(body, _ConflictBody).failed or []
 
 
 def read_item(body: bytes) -> tuple[Any, int]:
-    item = _convert(body, _Item)
+    item = _convert(body, _ItemBody)
     return item.value, item.key_rev
 
 
 def read_rows(body: bytes) -> tuple[list[tuple[str, Any, int]], bool, int]:
-    page = _convert(body, _Page)
+    page = _convert(body, _PageBody)
     return [(r.key, r.value, r.key_rev) for r in page.rows], bool(page.has_next), page.store_rev
 
 
 def read_events(body: bytes) -> tuple[int, list[tuple[str, Any, int]]]:
-    """Revision reached, and (key, value or None when removed, revision) in order."""
-    changes = _convert(body, _Changes)
+    """The revision reached, and events in order: (key, value or None if removed, revision)."""
+    changes = _convert(body, _ChangesBody)
     return changes.store_rev, [_event(event) for event in changes.events or []]
 
 
@@ -518,17 +525,17 @@
     return key, None if removed else event["value"], rev
 
 
-def store_query(prefix: str, after: str | None, most: int) -> dict[str, str]:
-    return {"starts": prefix, "most": str(most)} | ({"after": after} if after else {})
+def store_query(prefix: str, after: str | None, limit: int) -> dict[str, str]:
+    return {"starts": prefix, "most": str(limit)} | ({"after": after} if after else {})
 
 
-def watch_query(prefix: str, after: int, hold_ms: int) -> dict[str, str]:
-    return {"starts": prefix, "after": str(after), "hold_ms": str(hold_ms)}
+def watch_query(prefix: str, after: int, wait_ms: int) -> dict[str, str]:
+    return {"starts": prefix, "after": str(after), "hold_ms": str(wait_ms)}
 
 
-def hold(life_ms: int) -> bytes:
-    return pack({"life_ms": life_ms})
+def lease_body(duration_ms: int) -> bytes:
+    return pack({"life_ms": duration_ms})
 
 
-def read_hold(body: bytes) -> int:
-    return _convert(body, _Hold).grant
+def read_lease(body: bytes) -> int:
+    return _convert(body, _LeaseBody).grant
--- a/coveflow/wire/far.py
+++ b/coveflow/wire/remote.py
@@ -1,6 +1,6 @@
-"""The far side of each interface: what users, workers, the cloud and the state service say.
+"""Bodies of the other side of each interface: users, workers, the cloud and the state service.
 
-For clients, stand-ins and load tools; the daemon does not load it.
+Used by clients, test servers and load tools; the daemon does not import it.
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 from coveflow import wire
 from coveflow.core.model import Flavor, ListedMachine, Order, Report, Spec
 
-SHAPES = {ours: name for name, ours in wire.KINDS.items()}
-URGENCIES = {ours: name for name, ours in wire.PRIORITIES.items()}
+SHAPES = {kind: shape for shape, kind in wire.KINDS.items()}
+URGENCIES = {priority: urgency for urgency, priority in wire.PRIORITIES.items()}
 
 # --- users -----------------------------------------------------------------------------
 
 
-def work_body(spec: Spec) -> bytes:
+def submission_body(spec: Spec) -> bytes:
     return wire.pack(
         {
             "name_id": spec.id,
@@ -44,7 +44,7 @@
 
 
 def read_job(body: bytes) -> dict[str, Any]:
-    """`id`, `status` and, where told, `done` and `running` tasks."""
+    """`id`, `status` and, where present, the numbers of `done` and `running` tasks."""
     data = wire.unpack(body)
     answer = {"id": data.get("name_id"), "status": data.get("status")}
     return answer | {key: data[key] for key in ("done", "running") if key in data}
@@ -88,11 +88,11 @@
 
 
 def read_orders(body: bytes) -> tuple[int | None, int | None, list[Order]]:
-    """Token, session (of `/commands`) and orders; the token is None where it is missing."""
+    """Epoch, session (of `/commands`) and orders; epoch and session are None where missing."""
     data = wire.unpack(body)
     orders = []
     for row in data.get("orders") or []:
-        match = wire.PIECE.fullmatch(row["piece"])
+        match = wire.TASK_NAME.fullmatch(row["piece"])
         if match:
             orders.append(
                 Order(row["verb"], match[1], int(match[2]), row["try"], row.get("wind_down_s", 0.0))
@@ -123,7 +123,7 @@
 
 
 def read_rental(body: bytes) -> tuple[str, str, str, bool, int]:
-    """Request name, type, zone, whether spot, number; Malformed if one is missing or wrong."""
+    """Request name, type, zone, whether spot, count; Malformed if one is missing or invalid."""
     data = wire.unpack(body)
     row = tuple(data.get(key) for key in ("rental", "flavor", "site", "borrowed", "number"))
     kinds = (str, str, str, bool, int)
@@ -153,7 +153,7 @@
 
 
 def read_txn(body: bytes) -> tuple[dict[str, int], dict[str, tuple[Any, int | None]]]:
-    """Guarded revisions, and (value or None, hold) by key."""
+    """Guarded revisions by key, and (value or None, lease) by key."""
     data = wire.unpack(body)
     try:
         guards = {row["key"]: row["key_rev"] for row in data.get("guards") or []}
@@ -190,13 +190,13 @@
     return wire.pack({"store_rev": rev, "events": rows})
 
 
-def read_life(body: bytes) -> float:
-    """s; Malformed outside the protocol's bounds."""
-    life = wire.unpack(body).get("life_ms")
-    if not isinstance(life, int) or not 100 <= life <= 600_000:
+def read_lease_duration(body: bytes) -> float:
+    """The lease's duration in s; Malformed outside the protocol's bounds."""
+    duration_ms = wire.unpack(body).get("life_ms")
+    if not isinstance(duration_ms, int) or not 100 <= duration_ms <= 600_000:
         raise wire.Malformed("life_ms")
-    return life / 1000
+    return duration_ms / 1000
 
 
-def grant_body(grant: int) -> bytes:
+def lease_answer(grant: int) -> bytes:
     return wire.pack({"grant": grant})
--- a/coveflow/wire/runner.py
+++ b/coveflow/wire/runner.py
@@ -1,14 +1,15 @@
-"""What machines that run task documents exchange with controllers, beside the protocol's reports.
+"""Requests of machines that run task documents, in addition to the protocol's reports.
 
-The protocol leaves it to users how a machine learns what a task is and where its output goes. For
-tasks of the task execution API this project lays it down here; machines that know nothing of it go
-on as before. Both go to a controller's `front`, in CBOR:
+The protocol does not define how a machine gets the definition of a task or where its output goes.
+This module defines both for tasks of the task execution API; machines that do not support it are
+not affected. Both requests go to a controller's `front`, in CBOR:
 
 - `GET /agent/task/JOB`: 200 `{"spec": ..., "document": TEXT}`, 404 for any other job.
-- `POST /agent/told` `{"piece": "JOB/N", "code": 0, "system": false, "log": BYTES}`: how the task
-  ended, before the machine reports its end. `code` is the exit code that decided, `system` tells
-  that what failed was no executor, `log` is a TES TaskLog in JSON, packed with zlib.
-  200 `{"kept": "kept" | "known"}`; 410: the job is over or cancelled; 429, 503: again later.
+- `POST /agent/told` `{"piece": "JOB/N", "code": 0, "system": false, "log": BYTES}`: the result
+  of the task, sent before the machine reports its end. `code` is the deciding exit code, `system`
+  is true if something other than an executor failed, `log` is a TES TaskLog in JSON, compressed
+  with zlib. 200 `{"kept": "kept" | "known"}`; 410: the job is finished or cancelled; 429, 503:
+  retry later.
 """
 
 from __future__ import annotations
@@ -16,47 +17,47 @@
 import zlib
 from typing import Any, NamedTuple
 
-from coveflow.wire import PIECE, Malformed, pack, unpack
+from coveflow.wire import TASK_NAME, Malformed, pack, unpack
 
-TASK, TOLD = "/agent/task/", "/agent/told"
-LOG_BYTES = 1024 * 1024  # of a log unpacked
+TASK_PATH, RESULT_PATH = "/agent/task/", "/agent/told"
+LOG_MAX_BYTES = 1024 * 1024  # bytes of a decompressed log at most
 
 
-class Told(NamedTuple):
-    """How a task ended by its own word."""
+class TaskResult(NamedTuple):
+    """The result of a task, as its machine sends it."""
 
     job: str
     task: int
-    code: int  # the exit code that decided
-    system: bool  # what failed was no executor: an input that is not there, an output not made
+    code: int  # the deciding exit code
+    system: bool  # the cause was no executor: a missing input or an output that was not created
     log: bytes  # a TaskLog in JSON
 
 
-def told_body(told: Told) -> bytes:
+def result_body(result: TaskResult) -> bytes:
     return pack(
-        {"piece": f"{told.job}/{told.task}", "code": told.code, "system": told.system,
-         "log": zlib.compress(told.log)}
+        {"piece": f"{result.job}/{result.task}", "code": result.code, "system": result.system,
+         "log": zlib.compress(result.log)}
     )  # fmt: skip
 
 
-def read_told(body: bytes) -> Told:
-    """Raises Malformed."""
-    found = unpack(body)
-    piece = found.get("piece")
-    match = PIECE.fullmatch(piece) if isinstance(piece, str) else None
-    code, packed = found.get("code"), found.get("log")
+def read_result(body: bytes) -> TaskResult:
+    """Decode a result. Raises Malformed."""
+    fields = unpack(body)
+    piece = fields.get("piece")
+    match = TASK_NAME.fullmatch(piece) if isinstance(piece, str) else None
+    code, compressed = fields.get("code"), fields.get("log")
     if match is None or type(code) is not int or not -(2**31) <= code < 2**31:
         raise Malformed("piece or code")
-    if not isinstance(packed, bytes):
+    if not isinstance(compressed, bytes):
         raise Malformed("log")
-    unpacker = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        log = unpacker.decompress(packed, LOG_BYTES)
+        log = decompressor.decompress(compressed, LOG_MAX_BYTES)
     except zlib.error as error:
         raise Malformed("log") from error
-    if not unpacker.eof:
+    if not decompressor.eof:
         raise Malformed("log")
-    return Told(match[1], int(match[2]), code, found.get("system") is True, log)
+    return TaskResult(match[1], int(match[2]), code, fields.get("system") is True, log)
 
 
 def task_body(value: dict[str, Any]) -> bytes:
@@ -65,7 +66,7 @@
 
 def read_task(body: bytes) -> tuple[dict[str, Any], bytes]:
     """The job's spec as builtins, and the document's bytes. Raises Malformed."""
-    found = unpack(body)
-    if not isinstance(found.get("spec"), dict) or not isinstance(found.get("document"), str):
+    fields = unpack(body)
+    if not isinstance(fields.get("spec"), dict) or not isinstance(fields.get("document"), str):
         raise Malformed("spec or document")
-    return found["spec"], found["document"].encode()
+    return fields["spec"], fields["document"].encode()
--- a/run.py
+++ b/run.py
@@ -1,13 +1,12 @@
-"""Start the coveflow daemon; everything else is in the package."""
+"""Start the coveflow daemon from a source tree."""
 
 import sys
 
 ROOT = __file__.rpartition("/")[0] or "."
 sys.path[:0] = [ROOT, f"{ROOT}/target/deps"]
-# Byte code that the build left; a restarted controller must answer before leases run out.
+# Bytecode compiled by the build: a restarted controller must answer before leases expire.
 sys.pycache_prefix = f"{ROOT}/target/pycache"
-# Only a listener that operators gave a certificate speaks TLS, and loading it would take a quarter
-# of the start-up time.
+# Only a listener with a certificate needs TLS. Loading it takes a quarter of the start-up time.
 if "--tls" not in sys.argv:
     sys.modules["ssl"] = None  # type: ignore[assignment]
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -52,7 +52,7 @@
     assert admission.admits(10, 0, 2, 10) and admission.admits(14, 4, 2, 10)
     assert not admission.admits(15, 5, 2, 10) and not admission.admits(20, 0, 2, 10)
     assert admission.retry_after_s(30, 10.0, 0.0) == 3
-    assert admission.retry_after_s(10**6, 10.0, 1.0) == c.RETRY_AFTER_MOST
+    assert admission.retry_after_s(10**6, 10.0, 1.0) == c.RETRY_AFTER_MAX_S
     assert admission.retry_after_s(0, 10.0, 0.5) == 1
 
 
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -338,7 +338,7 @@
             value = {**row.value, "cancel": world.now}
             world.state.store.commit({}, {sk.JOB + job: (value, None)}, world.now)
             world.checker.see({"at": world.now, "kind": "cancel", "job": job})
-            path = f"{wire.WORK}/{job}"
+            path = f"{wire.WORK_PATH}/{job}"
             asked = world._asked("host-0", "GET", path, "poll", job)
             world.places[FLEET].loop.create_task(asked)
 
@@ -361,7 +361,7 @@
     """The leader's answer waited for a batch when another node's word came to the home."""
     told = worlds.play(worlds.meetings(16))
     assert not told.broken
-    monkeypatch.setattr(wire, "without_runs", lambda body, cancelled: body)
+    monkeypatch.setattr(wire, "without_cancelled_runs", lambda body, cancelled: body)
     assert "renewed: j-000003 is run" in worlds.play(worlds.meetings(16)).broken
 
 
--- a/tests/test_concurrent_faults.py
+++ b/tests/test_concurrent_faults.py
@@ -121,11 +121,11 @@
 
 
 def down_at_takeover(refusal: StoreRefusal) -> None:
-    refusal.down_s = c.HOLD_LIFE_S + 0.15
+    refusal.down_s = c.MEMBER_LEASE_S + 0.15
 
 
 def down_while_new_leader_reads(refusal: StoreRefusal) -> None:
-    refusal.down_s = c.HOLD_LIFE_S + 0.25
+    refusal.down_s = c.MEMBER_LEASE_S + 0.25
 
 
 def down_after_takeover(refusal: StoreRefusal) -> None:
@@ -205,7 +205,7 @@
 
     def ask() -> None:
         for i, job in enumerate(jobs()):
-            node, path = refusal.others[i % len(refusal.others)], f"{wire.WORK}/{job.id}"
+            node, path = refusal.others[i % len(refusal.others)], f"{wire.WORK_PATH}/{job.id}"
             world.places[FLEET].loop.create_task(world._asked(node, "GET", path, "poll", job.id))
 
     refusal.cancel = write
@@ -289,7 +289,7 @@
     refusal = StoreRefusal()
     try:
         world = refusal.play(machines_hang)
-        assert CANCEL_S * c.CANCEL_RETURN_PART < world.checker.gone_s < CANCEL_S - 10.0
+        assert CANCEL_S * c.CANCEL_RETURN_SHARE < world.checker.gone_s < CANCEL_S - 10.0
     finally:
         refusal.world.close()
     monkeypatch.setattr(Peers, "all_fresh", lambda self: False)
--- a/tests/test_daemon_start.py
+++ b/tests/test_daemon_start.py
@@ -1,4 +1,4 @@
-"""The daemon starts with nothing of the toolbox: its start-up time decides whether leases last."""
+"""The daemon imports none of the tools: a slow start would let leases of running work expire."""
 
 import subprocess
 import sys
@@ -15,13 +15,13 @@
 
 
 @pytest.mark.parametrize("extra", ["", "import numpy"])
-def test_the_daemon_loads_nothing_of_the_tools(extra):
-    # run.py puts None in place of ssl, so that nothing can load it.
-    look = "print(*(name for name, module in sys.modules.items() if module))"
-    code = f"import sys, run, coveflow.daemon.node; {extra}\n{look}"
+def test_daemon_does_not_import_the_tools(extra):
+    # run.py sets sys.modules["ssl"] to None, so that nothing can import it.
+    list_loaded = "print(*(name for name, module in sys.modules.items() if module))"
+    code = f"import sys, run, coveflow.daemon.node; {extra}\n{list_loaded}"
     out = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True
     )
     loaded = set(out.stdout.split()) & TOOLS
-    # With one of them imported on purpose the look must notice it.
+    # Verifies the check itself: a tool that is imported on purpose must be detected.
     assert loaded == ({"numpy"} if extra else set())
--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -41,13 +41,13 @@
 def test_jitter_and_losses_raise_no_suspicion_and_silence_does_in_time(seed, jitter, lost):
     silent_from = 100.0
     seen = answer_times(seed, 110.0, jitter, lost, until=silent_from)
-    link = AccrualDetector(c.PING_S, c.DOUBT_FLOOR_S)
+    link = AccrualDetector(c.PING_S, c.SUSPICION_MIN_DEVIATION_S)
     at, suspected_at = 0.0, None
     while at < 110.0 and suspected_at is None:
         at += 0.1
         while seen and seen[0] <= at:
             link.record(seen.pop(0))
-        if link.level(at) >= c.DOUBT_RAISE:
+        if link.level(at) >= c.SUSPICION_RAISE_LEVEL:
             suspected_at = at
     assert suspected_at is not None and silent_from < suspected_at < silent_from + 1.6
 
@@ -55,11 +55,11 @@
 def test_a_longer_ping_interval_raises_no_suspicion():
     """Followers ping each other only every 0.9 s, so a change of leader raises the interval of a
     link. That caused four false suspicions in 40 s while a zone was cut off."""
-    link = AccrualDetector(c.PING_S, c.DOUBT_FLOOR_S)
+    link = AccrualDetector(c.PING_S, c.SUSPICION_MIN_DEVIATION_S)
     for i in range(200):
         link.record(i * c.PING_S)
-    late = 199 * c.PING_S + c.PING_FAR_S + 0.25
-    assert link.level(late) >= c.DOUBT_RAISE > link.level(late, c.PING_FAR_S)
+    late = 199 * c.PING_S + c.PING_FOLLOWER_S + 0.25
+    assert link.level(late) >= c.SUSPICION_RAISE_LEVEL > link.level(late, c.PING_FOLLOWER_S)
 
 
 def receive_statuses(detector: FailureDetector, at: float, statuses: dict[str, NodeStatus]) -> None:
@@ -183,7 +183,7 @@
         was_out = out
     gaps = [b - a for a, b in itertools.pairwise(left)]
     # Out for at least the delay, doubled each time, so only a few exits a minute.
-    assert all(gap >= c.LEAVE_CALM_S * 2.0 ** min(i, 4) for i, gap in enumerate(gaps))
+    assert all(gap >= c.LEAVE_BACKOFF_S * 2.0 ** min(i, 4) for i, gap in enumerate(gaps))
 
 
 def test_two_slow_nodes_do_not_pass_the_lead_back_and_forth():
--- a/tests/test_feasibility.py
+++ b/tests/test_feasibility.py
@@ -34,7 +34,7 @@
 from coveflow.state import keys as sk
 from tests.samples import flavor, spec
 from tests.test_front import FakeStore, make_front, store_job
-from tests.test_wire import GOOD, JUNK
+from tests.test_wire import ARBITRARY_VALUES, VALID_SUBMISSION
 from tests.whole import ZONES
 
 WIDE = flavor("wide", cpus=4.0, ram_gb=8.0, cache_gb=20.0, zones=["a", "b"])
@@ -284,7 +284,13 @@
         return 503
 
 
-FINE = GOOD | {"flavors": ["deep"], "cpus": 1.0, "ram_gb": 1.0, "pieces": 4, "shape": "array"}
+FINE = VALID_SUBMISSION | {
+    "flavors": ["deep"],
+    "cpus": 1.0,
+    "ram_gb": 1.0,
+    "pieces": 4,
+    "shape": "array",
+}
 
 
 def body(**changes) -> bytes:
@@ -312,7 +318,8 @@
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(
-    st.sampled_from(sorted(FINE)), JUNK | st.sampled_from(["deep", "a", "b", 0, 9, 1e308, 5e-324])
+    st.sampled_from(sorted(FINE)),
+    ARBITRARY_VALUES | st.sampled_from(["deep", "a", "b", 0, 9, 1e308, 5e-324]),
 )
 def test_any_junk_value_gets_a_status_of_the_protocol(name, junk):
     frontend = node()
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -83,7 +83,7 @@
 
 @pytest.fixture(autouse=True)
 def no_poll_delay(monkeypatch):
-    monkeypatch.setattr(c, "POLL_PACE_S", 0.0)
+    monkeypatch.setattr(c, "POLL_READ_INTERVAL_S", 0.0)
 
 
 def test_a_flood_of_polls_for_unknown_jobs_costs_few_requests():
@@ -93,7 +93,7 @@
 
 
 def test_polls_beyond_the_queue_limit_get_503_at_once(monkeypatch):
-    monkeypatch.setattr(c, "POLL_QUEUE", 10)
+    monkeypatch.setattr(c, "POLL_QUEUE_MAX", 10)
     answers = poll_jobs(make_front(), [f"j-{i:06d}" for i in range(30)])
     assert answers.count("404") == 10 and answers.count("503") == 20
 
--- a/tests/test_hearing.py
+++ b/tests/test_hearing.py
@@ -233,7 +233,7 @@
         leader.now += REPORT_S
         counter += 1
         leader.send_report(2, counter, EPOCH)
-        assert leader.now - rose_at < LEASE_S + c.DEAF_GIVE_UP_S + 2 * REPORT_S
+        assert leader.now - rose_at < LEASE_S + c.WORKER_GIVE_UP_S + 2 * REPORT_S
     assert leader.now - rose_at > LEASE_S  # until then its lease may still expire
 
 
@@ -261,13 +261,13 @@
         report_without_effect(leader, counter)
     m = leader.state.machines["n-1"]
     assert m.answer_receipt.not_receiving
-    for counter in range(6, 6 + c.DEAF_QUICK):
+    for counter in range(6, 6 + c.PROMPT_REPORTS):
         report_without_effect(leader, counter, gap_s=REPORT_S)
     assert not m.answer_receipt.not_receiving and m.answer_receipt.task_limit == 1
     task = leader.place_task()
     assert leader.send_report(1, 20, EPOCH)[0][1]
     report_without_effect(leader, 21, [task], gap_s=REPORT_S)
-    assert m.answer_receipt.task_limit == c.DEAF_GROWTH
+    assert m.answer_receipt.task_limit == c.TASK_LIMIT_GROWTH
 
     leader = Leader()
     returned, counter = [], 2
--- a/tests/test_hedged.py
+++ b/tests/test_hedged.py
@@ -87,7 +87,7 @@
     for first in ((0.25, 0.0, "answered"), (0.0, 0.25, "answered"), (0.0, 1.0, "lost")):
         store = SlowStore([first, (0.005, 0.005, "answered")])
         rev, took = run_virtual(store.commit_with_retry({"a": 0}, {"a": 1}))
-        assert rev == store.rows["a"][1] and took < c.HEDGES_S[0] + 0.05
+        assert rev == store.rows["a"][1] and took < c.COMMIT_HEDGE_DELAYS_S[0] + 0.05
 
 
 def test_a_store_that_is_always_late_gets_few_extra_copies():
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -8,8 +8,8 @@
 from coveflow.daemon.machine_manager import MachineManager
 
 CANCEL_S, REPORT_S = 45.0, 3.0
-RETURN_AFTER_S = CANCEL_S * c.CANCEL_RETURN_PART
-FIRST_REPORTS_S = c.FIRST_REPORTS * REPORT_S
+RETURN_AFTER_S = CANCEL_S * c.CANCEL_RETURN_SHARE
+FIRST_REPORTS_S = c.FIRST_REPORT_INTERVALS * REPORT_S
 
 
 def overdue(cancelled_s_ago: float, led_for_s: float) -> bool:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -274,13 +274,13 @@
 @given(st.lists(WORDS, max_size=4))
 def test_forms_survive_being_shown_and_garbage_is_only_ever_a_form_error(items):
     try:
-        read = forms.read(forms.show(["x", *items]), "f", "x")
+        read = forms.read(forms.format_form(["x", *items]), "f", "x")
     except forms.FormError:
         return
-    assert forms.read(forms.show(["x", *read]), "f", "x") == read
+    assert forms.read(forms.format_form(["x", *read]), "f", "x") == read
     for parse in (site.parse, faults.parse):
         with pytest.raises(forms.FormError):
-            parse(forms.show(["lab", *items]), "f")
+            parse(forms.format_form(["lab", *items]), "f")
 
 
 def test_a_labs_history_is_judged_from_its_folder(tmp_path):
--- a/tests/test_limits_meetings.py
+++ b/tests/test_limits_meetings.py
@@ -783,7 +783,7 @@
     "latency, change, result_s",
     [
         ((0.1, 0.2), True, RESULT_S), (SLOW, False, RESULT_S),
-        (SLOW, True, RESULT_S + c.HOLD_LIFE_S),  # some jobs end while there is no leader
+        (SLOW, True, RESULT_S + c.MEMBER_LEASE_S),  # some jobs end while there is no leader
     ],
 )  # fmt: skip
 def test_results_and_cancellations_are_timely_under_overload(latency, change, result_s):
@@ -794,7 +794,7 @@
 
 
 def test_late_results_are_detected(monkeypatch):
-    monkeypatch.setattr(c, "COMMIT_PACE_S", 8.0)
+    monkeypatch.setattr(c, "COMMIT_INTERVAL_S", 8.0)
     with pytest.raises(AssertionError), OverloadScenario() as scenario:
         ends_s, _ = scenario.play()
         assert ends_s < RESULT_S
@@ -911,7 +911,7 @@
         world.at(world.now + 1.0 / PER_S, lambda: self._arrive(i + 1))
 
     def _ask(self, name: str, node: str) -> None:
-        asked = self.world._asked(node, "GET", f"{wire.WORK}/{name}", "poll", name)
+        asked = self.world._asked(node, "GET", f"{wire.WORK_PATH}/{name}", "poll", name)
         self.world.places[FLEET].loop.create_task(asked)
 
     def counts(self) -> Counter[str]:
@@ -941,8 +941,8 @@
 
 def small_caches(monkeypatch) -> JobStreamScenario:
     """Shrink bounded caches so that they are full before the first sample."""
-    monkeypatch.setattr(c, "CANCEL_KEPT_PARTS", 0.5)
-    monkeypatch.setattr(c, "REMOVED_KEPT", 40)
+    monkeypatch.setattr(c, "CANCEL_KEPT_FACTOR", 0.5)
+    monkeypatch.setattr(c, "REMOVED_JOBS_KEPT", 40)
     return JobStreamScenario()
 
 
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -168,7 +168,7 @@
 
 def inject_no_hedging(monkeypatch) -> None:
     """No copy is sent and no row is read before the request times out."""
-    monkeypatch.setattr(c, "HEDGES_S", (100.0,))
+    monkeypatch.setattr(c, "COMMIT_HEDGE_DELAYS_S", (100.0,))
 
 
 INJECTED_FAULTS = [
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -204,13 +204,17 @@
     urgent = [job(f"j-{i}", 145.0, tasks=8, priority=2, deadline_s=60.0) for i in range(1, 4)]
     predictions = {j.id: 30.0 for j in [large, *urgent]}
     machines = [machine(name) for name in "abcdefgh"]
-    before = started(run(state([large, *urgent], machines[:2], now=c.BEGIN_S - 1.0), predictions))
+    before = started(
+        run(state([large, *urgent], machines[:2], now=c.FIRST_START_S - 1.0), predictions)
+    )
     assert "j-0" not in before
-    plan = started(run(state([large, *urgent], machines, now=c.BEGIN_S + 1.0), predictions))
+    plan = started(run(state([large, *urgent], machines, now=c.FIRST_START_S + 1.0), predictions))
     assert plan["j-0"] == 50  # an eighth of the tasks
     large.last_attempt_number = 1  # once started, it gets only the floor of its class
-    plan = started(run(state([large, *urgent], machines[:3], now=c.BEGIN_S + 1.0), predictions))
-    assert plan["j-0"] == int(c.FLOOR_PART * 24)
+    plan = started(
+        run(state([large, *urgent], machines[:3], now=c.FIRST_START_S + 1.0), predictions)
+    )
+    assert plan["j-0"] == int(c.LONG_WAIT_SHARE * 24)
 
 
 def test_the_floor_is_shared_by_starved_classes_and_includes_what_they_use():
@@ -224,7 +228,7 @@
     jobs[2].errors = 3
     for j in jobs:
         j.last_attempt_number = 1
-    now = state(jobs, [], now=c.BEGIN_S + 10.0)
+    now = state(jobs, [], now=c.FIRST_START_S + 10.0)
     found = planner.class_floors(now, jobs, {"j-4"}, 400.0)
     assert found == pytest.approx({"probe": 4.0, "sweep": 56.0})
     jobs[0].attempts = 50
@@ -272,7 +276,7 @@
     predictions = {j.id: 30.0 for j in jobs}
     found = started(run(now, predictions))
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(c, "BEGIN_S", 1e9)
+        patch.setattr(c, "FIRST_START_S", 1e9)
         assert started(run(now, predictions)) == found
 
 
--- a/tests/test_report_decisions.py
+++ b/tests/test_report_decisions.py
@@ -105,7 +105,7 @@
 
 
 def test_silence_is_a_cut_only_if_enough_workers_reported():
-    for workers, cut in ((c.CUT_MACHINES - 1, False), (c.CUT_MACHINES, True)):
+    for workers, cut in ((c.CUT_MIN_MACHINES - 1, False), (c.CUT_MIN_MACHINES, True)):
         arrivals = Arrivals(REPORT_S, 0.0)
         assert arrivals.is_silent(0.0)
         for at in range(40):
@@ -113,7 +113,7 @@
         late = 20.0 + LEASE_S
         assert not arrivals.detect_cut(19.6, workers) and arrivals.is_silent(late)
         assert arrivals.detect_cut(late, workers) == cut == arrivals.is_cut(late)
-        assert not arrivals.detect_cut(late, workers) and not arrivals.is_cut(late + c.CUT_STAYS_S)
+        assert not arrivals.detect_cut(late, workers) and not arrivals.is_cut(late + c.CUT_KEPT_S)
         arrivals.record_report(late)
         assert not arrivals.is_cut(late) and not arrivals.is_silent(late)
 
@@ -131,10 +131,10 @@
         assert (machine.accepted_at == NEVER) == (redirect is not None)
         if redirect is not None:
             assert (redirect.node, redirect.forwards_report) == ("c", True) and elsewhere
-            assert now - sent_at >= c.BOUNCE_S and now - bounced_at >= c.RELAY_SPELL_S
+            assert now - sent_at >= c.REDIRECT_RETURN_S and now - bounced_at >= c.RELAY_PERIOD_S
             sent_at = now
-        elif elsewhere and now - bounced_at >= c.RELAY_SPELL_S:
-            assert now - sent_at < c.BOUNCE_S
+        elif elsewhere and now - bounced_at >= c.RELAY_PERIOD_S:
+            assert now - sent_at < c.REDIRECT_RETURN_S
             bounced_at = now
 
 
@@ -150,7 +150,7 @@
     nodes, machine, now, begun, tried = FakeLinks(cut=True, mates=mates), contact(), NOW, NOW, []
     for pause_s in pauses:
         now += pause_s
-        if now - begun > c.RELAY_SPELL_S:
+        if now - begun > c.RELAY_PERIOD_S:
             tried = []
         redirect = redirects.decide(report(), machine, nodes, True, now)
         assert (redirect is None) == (sorted(tried) == sorted(mates))
@@ -221,9 +221,9 @@
 def test_mailed_reports_without_a_task_end_are_rate_limited():
     machine = contact()
     assert delivery.admit_to_mailbox(machine, False, NOW)
-    assert not delivery.admit_to_mailbox(machine, False, NOW + c.MAIL_EACH_S - 0.1)
-    assert delivery.admit_to_mailbox(machine, True, NOW + c.MAIL_EACH_S - 0.1)
-    assert not delivery.admit_to_mailbox(machine, False, NOW + c.MAIL_EACH_S)
+    assert not delivery.admit_to_mailbox(machine, False, NOW + c.MAIL_MACHINE_INTERVAL_S - 0.1)
+    assert delivery.admit_to_mailbox(machine, True, NOW + c.MAIL_MACHINE_INTERVAL_S - 0.1)
+    assert not delivery.admit_to_mailbox(machine, False, NOW + c.MAIL_MACHINE_INTERVAL_S)
 
 
 # --- orders in every answer --------------------------------------------------------------
--- a/tests/test_report_handler.py
+++ b/tests/test_report_handler.py
@@ -82,7 +82,7 @@
 
 def test_an_answer_to_another_report_is_dropped(monkeypatch):
     """A run ordered for an older report would reach the worker too late."""
-    monkeypatch.setattr("coveflow.constants.MAIL_WAIT_S", 0.05)
+    monkeypatch.setattr("coveflow.constants.MAIL_ANSWER_S", 0.05)
     run = {"epoch": 3, "orders": [{"verb": "run", "piece": "j-000001/0", "try": 1}]}
     handler = follower(lambda mail: {"boot": mail["boot"], "answers": {"n-1": [1, 6, run]}})
     assert send_report(handler) == {"epoch": 3, "orders": []}
@@ -115,7 +115,7 @@
     handler.connectivity.peers.suspicion.started_at = now.t
 
     async def ask(*_):
-        now.t += c.CARRY_WAIT_S
+        now.t += c.REPORT_BATCH_ANSWER_S
 
     handler.carrier.ask = ask
 
@@ -165,7 +165,7 @@
 def test_a_lease_is_not_renewed_after_a_long_wait_for_the_leader(monkeypatch):
     late = 100.0 + CANCEL_S - LEASE_S - c.CONTACT_MARGIN_S
     for guarded, status in ((True, 503), (False, 200)):
-        now = SimpleNamespace(t=late - c.CARRY_WAIT_S)
+        now = SimpleNamespace(t=late - c.REPORT_BATCH_ANSWER_S)
         handler = follower(lambda mail: {}, lambda now=now: now.t)
         leader_without_answer(handler, now)
         if not guarded:
@@ -267,18 +267,20 @@
     def report(counter: int) -> set[int]:
         now.t += 1.0
         peers.suspicion.started_at = now.t
-        reports = [REPORT | {"host": f"n-{i}", "counter": counter} for i in range(c.CUT_MACHINES)]
+        reports = [
+            REPORT | {"host": f"n-{i}", "counter": counter} for i in range(c.CUT_MIN_MACHINES)
+        ]
         return {asyncio.run(handler.handle(cbor2.dumps(one))).status for one in reports}
 
     handler.carrier.ask = carried
     assert [report(counter) for counter in range(9)] == [{200}] * 9
-    assert handler.workers() == c.CUT_MACHINES
+    assert handler.workers() == c.CUT_MIN_MACHINES
     peers.peers["a"].refuses_connections = True
     assert report(9) == {421}
     now.t += 4.0
     assert not handler.cut_from_workers() and handler.workers() == 0
     mailbox_without_answer(handler, now)
-    assert report(10) == {200} and handler.workers() == c.CUT_MACHINES  # the workers returned
+    assert report(10) == {200} and handler.workers() == c.CUT_MIN_MACHINES  # the workers returned
     now.t += 0.8 * LEASE_S
     assert handler.cut_from_workers()
 
@@ -297,7 +299,7 @@
 
 def test_a_report_pending_by_mail_is_answered_by_this_node_once_it_leads(monkeypatch):
     """The report waited for a dead leader, and the new one did not hear of the machine."""
-    monkeypatch.setattr("coveflow.constants.MAIL_WAIT_S", 0.2)
+    monkeypatch.setattr("coveflow.constants.MAIL_ANSWER_S", 0.2)
     handler = follower(lambda mail: {"boot": "", "answers": {}})
     run = {"verb": "run", "piece": "j-000001/0", "try": 1}
 
@@ -315,8 +317,8 @@
 
 def test_a_report_too_large_for_a_mail_does_not_block_others(monkeypatch):
     """The store rejected the mail, and the reports in it and those still pending were lost."""
-    monkeypatch.setattr("coveflow.constants.MAIL_WAIT_S", 0.3)
-    monkeypatch.setattr("coveflow.constants.MAIL_PACE_S", 0.01)
+    monkeypatch.setattr("coveflow.constants.MAIL_ANSWER_S", 0.3)
+    monkeypatch.setattr("coveflow.constants.MAIL_INTERVAL_S", 0.01)
     handler = follower(lambda mail: {})
     written, limit = [], handler.owner.context.settings.params.state.value_kb * 1024
 
@@ -361,7 +363,7 @@
         written.append(writes[sk.REPLY + "c"])
 
     handler.owner.put, handler.store.commit = put, commit
-    row = wire.mail_report(wire.read_report(cbor2.dumps(REPORT)))
+    row = wire.mail_report_row(wire.read_report(cbor2.dumps(REPORT)))
     mail = {"boot": "x", "alive": [], "reports": {"n-1": row, "n-2": row}}
     asyncio.run(handler.mail_reader.answer("c", mail))
     assert written == [{"boot": "x", "answers": {"n-2": [1, 7, {"epoch": 3, "orders": []}]}}]
--- a/tests/test_reports_meetings.py
+++ b/tests/test_reports_meetings.py
@@ -290,7 +290,7 @@
     world.at(17.0, lambda: world.cancel(CANCELLED))
     world.run(65.0)
     assert set(scenario.returned()) == set(names) and not scenario.tasks(CANCELLED)
-    assert world.checker.gone_s < CANCEL_S * c.CANCEL_RETURN_PART
+    assert world.checker.gone_s < CANCEL_S * c.CANCEL_RETURN_SHARE
 
 
 def no_connections_during_leader_failure(scenario: Scenario) -> None:
@@ -360,7 +360,7 @@
     world.at(17.0, lambda: world.cancel(CANCELLED))
     world.run(65.0)
     assert scenario.returned() == [name] and not scenario.tasks(CANCELLED)
-    assert world.checker.gone_s < CANCEL_S * c.CANCEL_RETURN_PART + 2.0
+    assert world.checker.gone_s < CANCEL_S * c.CANCEL_RETURN_SHARE + 2.0
 
 
 UNREACHED = [
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings files: what is wrong is named, what is unknown in the deploy file is ignored."""
+"""Settings files: errors name their cause, and unknown fields of the deploy file are ignored."""
 
 import contextlib
 
@@ -37,7 +37,7 @@
 """
 
 
-def test_check_accepts_a_good_file_and_ignores_unknown_fields(tmp_path, capsys):
+def test_check_accepts_a_valid_file_and_ignores_unknown_fields(tmp_path, capsys):
     path = tmp_path / "node.toml"
     path.write_text(DEPLOY)
     assert program.main(["check", str(path)]) == 0
@@ -54,7 +54,7 @@
         ("[params.cloud]", "[params.cloud", "line"),
     ],
 )
-def test_check_names_what_is_wrong_and_exits_with_2(tmp_path, capsys, old, new, named):
+def test_check_names_the_error_and_exits_with_2(tmp_path, capsys, old, new, named):
     path = tmp_path / "node.toml"
     path.write_text(DEPLOY.replace(old, new))
     assert program.main(["check", str(path)]) == 2
@@ -78,13 +78,13 @@
         ("(coveflow", "S-expression"),
     ],
 )
-def test_a_bad_form_is_named(text, named):
+def test_error_names_the_invalid_form(text, named):
     with pytest.raises(s.SettingsError, match=named):
         s.parse_tuning(text)
 
 
 @settings(derandomize=True, deadline=None)
 @given(st.text(max_size=60))
-def test_garbage_is_only_ever_a_settings_error(text):
+def test_arbitrary_text_raises_only_settings_errors(text):
     with contextlib.suppress(s.SettingsError):
         s.parse_tuning(text)
--- a/tests/test_shedding.py
+++ b/tests/test_shedding.py
@@ -89,7 +89,7 @@
     """Delay the leader's timers for 10 s; nodes take `compute_s` per computation."""
     monkeypatch.setattr(Node, "_measure_compute_time", lambda node: None)
     for name, seconds in compute_s.items():
-        for _ in range(c.COMPUTE_TRIES):
+        for _ in range(c.COMPUTE_SAMPLES):
             world.node(name).compute_pace.add_sample(seconds)
     leader = world.node(world.leader())
     for step in range(100):
@@ -119,7 +119,7 @@
 @settings(derandomize=True, max_examples=200, deadline=None)
 def test_slow_processor_is_never_counted_as_overload(share, own_s, others_s):
     is_overload = overload.overloaded(share, own_s, others_s)
-    assert not is_overload or (share >= c.BUSY_SHARE and own_s < c.SICK_TIMES * others_s)
+    assert not is_overload or (share >= c.BUSY_SHARE and own_s < c.SLOW_PROCESS_FACTOR * others_s)
     # An unknown pace, from an older build, does not prevent it.
     assert overload.overloaded(share, 0.0, others_s) is (share >= c.BUSY_SHARE)
     assert overload.overloaded(share, own_s, 0.0) is (share >= c.BUSY_SHARE)
@@ -134,18 +134,18 @@
         busy.add_busy_time(elapsed * part)
         share = busy.update(now)
         assert -1e-9 <= share <= max(part for _, part in steps) + 1e-9
-    busy.add_busy_time(c.BUSY_FADE_S * 10.0)
-    assert math.isclose(busy.update(now + c.BUSY_FADE_S * 10.0), 1.0, abs_tol=0.01)
+    busy.add_busy_time(c.BUSY_DECAY_S * 10.0)
+    assert math.isclose(busy.update(now + c.BUSY_DECAY_S * 10.0), 1.0, abs_tol=0.01)
 
 
 def test_compute_pace_is_the_minimum_of_the_latest_measurements():
     pace = overload.ComputeSpeed()
-    for _ in range(c.COMPUTE_TRIES - 1):
+    for _ in range(c.COMPUTE_SAMPLES - 1):
         pace.add_sample(0.5)
     assert pace.best_s() == 0.0
     pace.add_sample(0.2)
     assert pace.best_s() == 0.2
-    for _ in range(c.COMPUTE_TRIES):
+    for _ in range(c.COMPUTE_SAMPLES):
         pace.add_sample(0.4)
     assert pace.best_s() == 0.4
 
--- a/tests/test_spot_refused.py
+++ b/tests/test_spot_refused.py
@@ -87,10 +87,10 @@
 
 def test_a_job_without_any_start_gets_on_demand_machines_even_if_spot_machines_are_up():
     for kind in ("gang", "array"):
-        job = shortage(12, c.BEGIN_S, has_started=False, kind=kind)
+        job = shortage(12, c.FIRST_START_S, has_started=False, kind=kind)
         rented = play([job], machines=[machine(f"n-{i}", spot=True) for i in range(5)])
         assert [(want.key, want.count) for _, want in rented] == [(ON_DEMAND, 2)]
-        started_job = shortage(12, c.BEGIN_S, kind=kind)
+        started_job = shortage(12, c.FIRST_START_S, kind=kind)
         assert not play([started_job], machines=[machine(f"n-{i}", spot=True) for i in range(5)])
 
 
@@ -188,5 +188,5 @@
 def test_no_job_waits_for_long_beside_unused_guaranteed_capacity(monkeypatch):
     """CPUs reserved for unused accelerators stayed idle while jobs waited for 90 s."""
     assert len(beside_a_guarantee()) == 9
-    monkeypatch.setattr(placement, "LENT_S", math.inf)
+    monkeypatch.setattr(placement, "RESERVED_CAPACITY_WAIT_S", math.inf)
     assert len(beside_a_guarantee()) < 9
--- a/tests/test_tes_service.py
+++ b/tests/test_tes_service.py
@@ -14,7 +14,7 @@
 from coveflow.tes.ledger import Busy
 from coveflow.tes.models import Refused, State, TaskLog, View
 from coveflow.tes.service import NotFound, Query
-from coveflow.wire.runner import Told
+from coveflow.wire.runner import TaskResult
 from tests.tes_nodes import AUDITOR, BLUE, GREEN, body, nodes, run
 
 
@@ -44,7 +44,7 @@
 
 def told(task, code=0, system=False, text=b""):
     log = msgspec.json.encode(TaskLog([], [], system_logs=[text.decode()] if text else None))
-    return Told(task, 0, code, system, log)
+    return TaskResult(task, 0, code, system, log)
 
 
 def test_a_task_is_one_transaction_and_every_node_tells_the_same():
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -17,7 +17,7 @@
 from coveflow.trace import files
 from coveflow.trace.files import Event, TraceError, Writer, merge, read, verify
 from coveflow.trace.record import Recorder
-from coveflow.wire import far
+from coveflow.wire import remote
 
 VALUES = st.recursive(
     st.none() | st.booleans() | st.integers(-(2**40), 2**40) | st.text(max_size=8)
@@ -190,10 +190,10 @@
         async def handle(request):
             if node in self.down:
                 return web.Response(status=500)
-            if request.path == wire.STORE:
+            if request.path == wire.STORE_PATH:
                 prefix = request.query["starts"]
                 rows = [(k, v, 1) for k, v in sorted(self.state.items()) if k.startswith(prefix)]
-                return web.Response(body=far.rows_body(rows, False, 1))
+                return web.Response(body=remote.rows_body(rows, False, 1))
             ask = wire.unpack(await request.read())
             tracer = self.tracers.get(node) or Tracer(1, float, float, "none")
             answer = tracer.read(ask["epoch"], ask["after"], ask["most"])
@@ -261,7 +261,7 @@
 
     def handler(node):
         async def handle(request):
-            return web.Response(status=404, body=wire.error("set (trace EVENTS)"))
+            return web.Response(status=404, body=wire.error_answer("set (trace EVENTS)"))
 
         return handle
 
--- a/tests/test_user_consistency.py
+++ b/tests/test_user_consistency.py
@@ -69,11 +69,11 @@
         self.serve, world.state.serve = world.state.serve, self.serve_with_faults
 
     async def serve_with_faults(self, who: str, request: Request):
-        if request.path == wire.CHANGES:
+        if request.path == wire.CHANGES_PATH:
             answer = await self.serve(who, request)
             await asyncio.sleep(self.lags.get(who, 0.0))
             return answer
-        rule = self._rule(request) if request.path == wire.COMMIT else None
+        rule = self._rule(request) if request.path == wire.COMMIT_PATH else None
         if rule is None:
             return await self.serve(who, request)
         if rule.fate in ("late", "held"):
@@ -572,7 +572,7 @@
 def test_a_leader_without_watch_answers_runs_jobs_that_others_accept(begin, monkeypatch):
     """The leader stayed but saw no new job: 20 were accepted in 90 s and none was run."""
     assert run_without_watch_answers(begin()) == 8
-    monkeypatch.setattr(c, "WATCH_UNANSWERED", 10**6)
+    monkeypatch.setattr(c, "WATCH_MAX_UNANSWERED", 10**6)
     assert run_without_watch_answers(begin()) == 0
 
 
--- a/tests/test_whatif.py
+++ b/tests/test_whatif.py
@@ -324,7 +324,7 @@
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(st.lists(st.lists(FORM, min_size=1, max_size=5), max_size=3))
 def test_a_change_file_is_read_or_refused_by_name(items):
-    text = forms.show(["change", *items])
+    text = forms.format_form(["change", *items])
     try:
         found = ch.parse(text, "c")
     except forms.FormError:
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -360,8 +360,8 @@
     honest = Records._set
     monkeypatch.setattr(Records, "_set", forget)
     monkeypatch.setattr(c, "SLOTS_MIN", 2)
-    monkeypatch.setattr(c, "SLOTS_SPARE", 0)
-    monkeypatch.setattr(c, "SLOTS_TXN", 1)
+    monkeypatch.setattr(c, "SLOTS_SPARE_FACTOR", 0)
+    monkeypatch.setattr(c, "SLOTS_PER_TXN", 1)
     with pytest.raises(Broken):
         provoke(30, lambda world, name, owner: None)
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -85,7 +85,7 @@
     )
     zone = zones.get("north")
     began, shares = DEAD_S + 0.5, []
-    for i in range(int(c.ZONE_RETURN_S * 2)):
+    for i in range(int(c.ZONE_RELEASE_S * 2)):
         update_until(
             zones,
             began + 0.5 * i,
@@ -110,7 +110,7 @@
         if zone.state == CUT and before != CUT:
             cut_since = now
         assert zone.state != CUT or now - cut_since <= DEAD_S + 5.0
-        assert c.ZONE_CALM_S <= zones.return_s(zone) <= c.ZONE_CALM_MAX_S
+        assert c.ZONE_RECOVERY_S <= zones.return_s(zone) <= c.ZONE_RECOVERY_MAX_S
         assert (before, zone.state) not in {
             (HEALTHY, GONE),
             (GONE, CUT),
