--- a/coveflow/cli/modelcheck.py
+++ b/coveflow/cli/modelcheck.py
@@ -33,7 +33,7 @@
     logging.disable(logging.CRITICAL)
     rows: list[dict[str, Any]] = []
 
-    def add(what: str, began: float, found: mc.Found, bug: bool) -> None:
+    def add(what: str, began: float, found: mc.SearchResult, bug: bool) -> None:
         row = asdict(found) | {"what": what, "seconds": time.monotonic() - began, "planted": bug}
         rows.append(row | {"good": bool(found.broken) is bug})
 
--- a/coveflow/cli/worlds.py
+++ b/coveflow/cli/worlds.py
@@ -30,7 +30,7 @@
     console = Console(stderr=True)
     seen = 0
 
-    def done(told: w.Told) -> None:
+    def done(told: w.CaseResult) -> None:
         nonlocal seen
         seen += not told.plain
         if told.broken or told.unfinished or told.failures:
--- a/coveflow/lab/rooms.py
+++ b/coveflow/lab/free_capacity.py
@@ -1,4 +1,4 @@
-"""What is free on the machines of a world, as its stand-in fleet sees it, for the checker."""
+"""Samples the free capacity of the machines of a simulated world for the checker."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def watch(world: World, calm_at: float) -> None:
-    """Have the checker judge from then on whether jobs wait beside room."""
+    """Has the checker judge from `calm_at` on whether jobs wait despite free capacity."""
     world.checker.waits.calm_at = calm_at
 
     def sample() -> None:
@@ -26,7 +26,7 @@
 
 
 def row(world: World) -> dict[str, Any]:
-    """A row of the history: machines that can be given work, and tasks that are placed."""
+    """A row of the history: free capacity of usable machines, and placed tasks."""
     workers = [worker for worker in world.fleet.workers.values() if worker.alive]
     placed = [
         (attempt.job, attempt.task, worker.zone)
@@ -39,18 +39,18 @@
 
 
 def usable(world: World, worker: Worker) -> bool:
-    """Whether it is well, and hears and is heard."""
-    unheard = (world.fleet.deaf, world.fleet.away)
+    """Whether the machine is healthy, and communicates in both directions."""
+    unreachable = (world.fleet.deaf, world.fleet.away)
     return (
         worker.hung_at is None
         and not worker.sick
         and worker.taken_at == INF
-        and all(table.get(worker.name, (0.0, 0.0))[1] <= world.now for table in unheard)
+        and all(table.get(worker.name, (0.0, 0.0))[1] <= world.now for table in unreachable)
     )
 
 
 def room(worker: Worker) -> MachineRoom:
-    """What its tasks leave; those that wait for their image take their part too."""
+    """Capacity left by the machine's tasks, including those that wait for their image."""
     specs = [worker.truth.specs[a.job] for a in worker.tasks.values() if a.state != "exited"]
     flavor = worker.flavor
     return MachineRoom(
--- a/coveflow/lab/impossible.py
+++ b/coveflow/lab/impossible.py
@@ -1,4 +1,4 @@
-"""Why a submission may not be accepted: it can never run, by the machine types and the teams."""
+"""Decides, from machine types and team limits, whether a submitted job can never run."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 
 def why_impossible(spec: Spec, teams: dict[str, Team], flavors: list[Flavor]) -> str:
-    """What keeps the job from ever running; "" if nothing does.
+    """The reason why the job can never run; "" if it can.
 
-    Judged apart from the service's own admission, by the protocol's text.
+    Implements the protocol's text, independently of the service's own admission.
     """
     team = teams.get(spec.team)
     if team is None:
--- a/coveflow/lab/planted.py
+++ b/coveflow/lab/planted.py
@@ -1,4 +1,4 @@
-"""Bugs planted on purpose in the daemon's own code: the model check has to find each of them."""
+"""Bugs planted in the daemon's own code; the model check must find each of them."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from coveflow.daemon.leader_state import LeaderState
 from coveflow.daemon.machine_manager import MachineManager
 from coveflow.daemon.report_answers import ReportAnswers
-from coveflow.lab import choices as mc
+from coveflow.lab import stepwise_model as mc
 from coveflow.state import keys as sk
 
-SILENT_S = 3.0  # s after which a hasty leader believes that a machine is gone
+SILENT_S = 3.0  # s of silence after which the buggy leader considers a machine gone
 
 
 @contextlib.contextmanager
@@ -29,54 +29,54 @@
         setattr(owner, name, old)
 
 
-def dropped_guard() -> contextlib.AbstractContextManager[None]:
-    """Commits do not compare the view, nor the slots they overwrite."""
-    honest = mc.Calls.commit
+def missing_guards() -> contextlib.AbstractContextManager[None]:
+    """Commits without guards on the view and on the slots they overwrite."""
+    real = mc.SteppedStore.commit
 
     async def commit(self: Any, guards: Any, writes: Any, grant: int | None = None) -> Any:
         kept = {k: r for k, r in guards.items() if k != sk.VIEW and not k.startswith(sk.SLOT)}
-        return await honest(self, kept, writes, grant)
+        return await real(self, kept, writes, grant)
 
-    return _patched(mc.Calls, "commit", commit)
+    return _patched(mc.SteppedStore, "commit", commit)
 
 
-def reused_try() -> contextlib.AbstractContextManager[None]:
-    """The number of an attempt that ended is given out again."""
-    honest = LeaderState.end
+def reused_attempt_number() -> contextlib.AbstractContextManager[None]:
+    """Reuses the number of an ended attempt."""
+    real = LeaderState.end
 
     def end(self: LeaderState, p: Any, done: bool, why: str, saved: bool = False) -> None:
         job = self.jobs[p.job]
-        floor = job.last_attempt_number
-        honest(self, p, done, why, saved)
-        job.last_attempt_number = floor
+        last_number = job.last_attempt_number
+        real(self, p, done, why, saved)
+        job.last_attempt_number = last_number
 
     return _patched(LeaderState, "end", end)
 
 
 @contextlib.contextmanager
 def clear_before_commit() -> Iterator[None]:
-    """An end is cleared on the machine before the records know of it."""
-    honest = ReportAnswers.orders
+    """Clears an ended attempt on the machine before its end is committed."""
+    real = ReportAnswers.orders
 
     def orders(self: ReportAnswers, m: Any, report: Any, peek: bool = False) -> Any:
-        held, m.uncommitted_ends = m.uncommitted_ends, set()
+        uncommitted, m.uncommitted_ends = m.uncommitted_ends, set()
         try:
-            return honest(self, m, report, peek)
+            return real(self, m, report, peek)
         finally:
-            m.uncommitted_ends = held
+            m.uncommitted_ends = uncommitted
 
-    def at_once(self: ReportAnswers, m: Any, report: Any, reply: Any, *_: Any) -> None:
+    def answer_at_once(self: ReportAnswers, m: Any, report: Any, reply: Any, *_: Any) -> None:
         self.answer(m, PendingAnswer(report, reply, 0.0, False))
 
     with (
         _patched(ReportAnswers, "orders", orders),
-        _patched(ReportAnswers, "answer_or_hold", at_once),
+        _patched(ReportAnswers, "answer_or_hold", answer_at_once),
     ):
         yield
 
 
 def stale_view_accepted() -> contextlib.AbstractContextManager[None]:
-    """A deposed leader takes the newer view's revision for its own and goes on."""
+    """A deposed leader adopts the newer view's revision as its own and continues."""
 
     def rows(self: o.Owner, command: Any) -> None:
         self.inbox.apply(command)
@@ -86,8 +86,8 @@
     return _patched(o.Owner, "_inbox_rows", rows)
 
 
-def doubt_as_verdict() -> contextlib.AbstractContextManager[None]:
-    """What was on a machine that is silent for a while is taken for gone."""
+def silence_as_loss() -> contextlib.AbstractContextManager[None]:
+    """Ends all attempts on a machine that is silent for a short time."""
 
     def silent(self: MachineManager, now: float) -> list[str]:
         for m in self.state.machines.values():
@@ -100,11 +100,11 @@
 
 @contextlib.contextmanager
 def two_leaders() -> Iterator[None]:
-    """A leader that was deposed does not stop, and answers with the newest epoch it knows."""
-    honest = mc.Model._boot
+    """A deposed leader does not step down, and answers with the newest epoch it knows."""
+    real = mc.Model._boot
 
     def boot(self: mc.Model, name: str) -> Any:
-        node = honest(self, name)
+        node = real(self, name)
         inbox = node.owner.inbox
         node.owner.context.encode_answer = lambda epoch, orders: (
             max(epoch, inbox.view.epoch),
@@ -119,12 +119,12 @@
         yield
 
 
-def hold_as_life() -> contextlib.AbstractContextManager[None]:
-    """A new leader takes the old one's end for the end of all that it had started."""
-    honest = o.restore
+def attempts_end_with_leader() -> contextlib.AbstractContextManager[None]:
+    """A new leader ends all attempts that its predecessor had started."""
+    real = o.restore
 
     def restore(state: LeaderState, inbox: Any, rows: Any, now: float) -> int:
-        rev = honest(state, inbox, rows, now)
+        rev = real(state, inbox, rows, now)
         for m in list(state.machines.values()):
             state.end_all_attempts(m, "its leader is gone")
         return rev
@@ -132,8 +132,8 @@
     return _patched(o, "restore", restore)
 
 
-def usage_freed_early() -> contextlib.AbstractContextManager[None]:
-    """What is on a silent machine does not count against its team's limit."""
+def usage_excludes_silent() -> contextlib.AbstractContextManager[None]:
+    """Attempts on a silent machine do not count against their team's limit."""
 
     def usage(self: LeaderState) -> dict[str, tuple[float, float]]:
         used: dict[str, tuple[float, float]] = {}
@@ -151,8 +151,8 @@
 
 
 @contextlib.contextmanager
-def store_word_alone() -> Iterator[None]:
-    """Leases go by what peers tell of cancellations, and stops by what the store does."""
+def stops_ignore_peers() -> Iterator[None]:
+    """Stop orders ignore cancellations that are known from peers; lease renewals rely on them."""
     with (
         _patched(Inbox, "stops", lambda self, report: []),
         _patched(Inbox, "cancelled", lambda self, job: False),
@@ -161,47 +161,47 @@
         yield
 
 
-def confirmed_and_not_told() -> contextlib.AbstractContextManager[None]:
-    """Whoever tells a user of a cancellation tells its peers nothing of it."""
+def confirmation_not_shared() -> contextlib.AbstractContextManager[None]:
+    """A node that confirms a cancellation to a user does not report it to its peers."""
     return _patched(Cancellations, "confirm", lambda self, job, cancelled, now: None)
 
 
-def any_process_trusted() -> contextlib.AbstractContextManager[None]:
-    """A peer's word counts from the first on, whatever an earlier process of it confirmed."""
-    honest = Cancellations.record_peer_list
+def new_process_trusted() -> contextlib.AbstractContextManager[None]:
+    """A peer's first list counts as complete, whatever an earlier process of it confirmed."""
+    real = Cancellations.record_peer_list
 
-    def told(self: Cancellations, name: str, *more: Any) -> Any:
-        news = honest(self, name, *more)
+    def record(self: Cancellations, name: str, *more: Any) -> Any:
+        news = real(self, name, *more)
         self.peers[name].whole = True
         return news
 
-    return _patched(Cancellations, "record_peer_list", told)
+    return _patched(Cancellations, "record_peer_list", record)
 
 
-def lease_forgotten() -> contextlib.AbstractContextManager[None]:
-    """Leases are renewed until cancel_s itself, as if they ended with the answer."""
-    honest = Cancellations.__init__
+def lease_ignored() -> contextlib.AbstractContextManager[None]:
+    """Renews leases until `cancel_s` itself, as if they ended with the answer."""
+    real = Cancellations.__init__
 
     def init(self: Cancellations, members: Any, cancel_s: float, lease_s: float) -> None:
-        honest(self, members, cancel_s, 0.0)
+        real(self, members, cancel_s, 0.0)
 
     return _patched(Cancellations, "__init__", init)
 
 
 PLANTED: dict[str, Callable[[], contextlib.AbstractContextManager[None]]] = {
-    "dropped guard": dropped_guard,
-    "reused try": reused_try,
+    "dropped guard": missing_guards,
+    "reused try": reused_attempt_number,
     "clear before commit": clear_before_commit,
     "stale view accepted": stale_view_accepted,
-    "doubt used as verdict": doubt_as_verdict,
+    "doubt used as verdict": silence_as_loss,
     "two leaders answering run": two_leaders,
-    "hold mistaken for life": hold_as_life,
-    "usage freed early": usage_freed_early,
+    "hold mistaken for life": attempts_end_with_leader,
+    "usage freed early": usage_excludes_silent,
 }
-# About cancellations: found on paths that begin with one.
+# Bugs in the handling of cancellations, found on paths that begin with one.
 PLANTED_CANCELLED: dict[str, Callable[[], contextlib.AbstractContextManager[None]]] = {
-    "stops by the store's word alone": store_word_alone,
-    "confirmed and not told to peers": confirmed_and_not_told,
-    "any process of a peer trusted": any_process_trusted,
-    "lease left out of the limit": lease_forgotten,
+    "stops by the store's word alone": stops_ignore_peers,
+    "confirmed and not told to peers": confirmation_not_shared,
+    "any process of a peer trusted": new_process_trusted,
+    "lease left out of the limit": lease_ignored,
 }
--- a/coveflow/lab/filled.py
+++ b/coveflow/lab/prefilled_store.py
@@ -1,4 +1,4 @@
-"""A state service as months of the task API leave it: pages, final records and a few documents."""
+"""Fills a state service as after months of task API use: pages, final records, documents."""
 
 from __future__ import annotations
 
@@ -12,35 +12,35 @@
 from coveflow.tes import documents, ledger, models
 from coveflow.tes import index as ix
 
-DOCUMENTS = 50  # that all tasks share
-MADE_MS = 1_700_000_000_000  # when the first was made; the others follow at 50 ms
-EVERY_MS = 50
+DOCUMENTS = 50  # shared by all tasks
+FIRST_CREATED_MS = 1_700_000_000_000  # creation time of the first task
+CREATED_EVERY_MS = 50  # ms between the creation of two tasks
 STATES = ("COMPLETE",) * 17 + ("EXECUTOR_ERROR", "CANCELED", "SYSTEM_ERROR")
 
 
 def fill(store: Store, tasks: int, nodes: list[str], seed: int = 1) -> None:
-    """Write them as the service would have; the revision counts one for each page."""
+    """Writes `tasks` finished tasks as the service would; each page increments the revision."""
     rng = random.Random(seed)
-    names = []
+    document_hashes = []
     for i in range(DOCUMENTS):
         executor = models.Executor("outline", ["/usr/bin/outline", f"/tiles/{i}"])
         task = models.Task([executor])
         cut = documents.cut(models.document_of(task), store.value_kb, 1)
         store.rows[cut.key(0)] = Row(cut.root(), 1)
-        names.append(cut.hash)
+        document_hashes.append(cut.hash)
     pages = {node: ([], 0, 0) for node in nodes}  # rows, bytes, number
-    room = int(store.value_kb * 1024 * ledger.PAGE_PART)
+    page_bytes = int(store.value_kb * 1024 * ledger.PAGE_PART)
     for i in range(tasks):
         node = nodes[i % len(nodes)]
         state = rng.choice(STATES)
-        made = MADE_MS + i * EVERY_MS
+        created = FIRST_CREATED_MS + i * CREATED_EVERY_MS
         entry = ix.Entry(
-            f"j-{rng.randrange(10**24):024d}", made, f"tile-{i:06d}", "mapping",
-            names[i % DOCUMENTS], {"row": str(i % 100)}, state, made + 30_000,
+            f"j-{rng.randrange(10**24):024d}", created, f"tile-{i:06d}", "mapping",
+            document_hashes[i % DOCUMENTS], {"row": str(i % 100)}, state, created + 30_000,
         )  # fmt: skip
         rider = {
             "doc": entry.doc, "name": entry.name, "tags": entry.tags, "team": entry.team,
-            "made": made, "by": "mapping",
+            "made": created, "by": "mapping",
         }  # fmt: skip
         record = {
             "status": "cancelled" if state in ("CANCELED", "SYSTEM_ERROR") else "done",
@@ -52,7 +52,7 @@
         rows, size, number = pages[node]
         row = ix.rows_of([entry])
         size += records.encoded_size("", row)
-        if size > room:
+        if size > page_bytes:
             _page(store, node, number, rows)
             rows, size, number = [], records.encoded_size("", row), number + 1
         rows += row
--- a/coveflow/lab/scale.py
+++ b/coveflow/lab/scale.py
@@ -23,7 +23,7 @@
 from coveflow.daemon.leader_state import LeaderState
 from coveflow.daemon.restore import restore
 from coveflow.lab import site as sites
-from coveflow.lab.virtual import FLEET, Place, Request, World
+from coveflow.lab.virtual import FLEET, Request, SimulatedHost, World
 from coveflow.settings import Tuning
 from coveflow.state import keys as sk
 
@@ -112,7 +112,7 @@
         self.counted: defaultdict[str, _Counted] = defaultdict(_Counted)
         super().__init__(*args, **more)
 
-    def role(self, place: Place | None) -> str:
+    def role(self, place: SimulatedHost | None) -> str:
         """Of a host: leader, follower, state, cloud, worker or user."""
         if place is None or place.name.startswith("workers-"):
             return "worker"
@@ -122,8 +122,10 @@
             return place.name
         return "leader" if place.name == self.leader() else "follower"
 
-    def send(self, me: Place, address: str, request: Request, future: asyncio.Future[Any]) -> None:
-        row = self.counted[f"{self.role(me)} to {self.role(self._place(address))}"]
+    def send(
+        self, me: SimulatedHost, address: str, request: Request, future: asyncio.Future[Any]
+    ) -> None:
+        row = self.counted[f"{self.role(me)} to {self.role(self._host_of(address))}"]
         row.messages += 1
         row.sent += len(request.body)
 
@@ -225,12 +227,12 @@
         steady = _submit(world, load)
         world.run(steady)
         world.counted.clear()
-        leader, seen = world.leader(), len(world.told)
+        leader, seen = world.leader(), len(world.attempt_events)
         spent = _spent(world, steady + WINDOW_S)
         if not leader or leader != world.leader():
             raise Unfit("the lead changed while the load was measured")
         cores: defaultdict[str, list[float]] = defaultdict(list)
-        for name, place in world.places.items():
+        for name, place in world.hosts.items():
             if place.node is not None:
                 cores[world.role(place)].append(spent[name] / WINDOW_S)
         state = world.node(leader).owner.state
@@ -238,7 +240,7 @@
             load=load,
             machines=sum(state.reported_recently(m, world.now) for m in state.machines.values()),
             running=sum(len(m.placements) for m in state.machines.values()),
-            starts=sum(kind == "running" for _, kind, _ in world.told[seen:]) / WINDOW_S,
+            starts=sum(kind == "running" for _, kind, _ in world.attempt_events[seen:]) / WINDOW_S,
             cores={role: sum(shares) / len(shares) for role, shares in cores.items()},
             traffic={
                 name: Traffic(
@@ -268,14 +270,14 @@
     Turns are timed by the real clock, which is cheap to read, and count as far as this process had
     a processor meanwhile.
     """
-    before = {name: place.loop.spent_s for name, place in world.places.items()}
+    before = {name: place.loop.spent_s for name, place in world.hosts.items()}
     with _no_collection():
         real, had = time.perf_counter(), time.process_time()
         world.run(until)
         part = (time.process_time() - had) / (time.perf_counter() - real)
     return {
         name: (place.loop.spent_s - before[name]) * part
-        for name, place in world.places.items()
+        for name, place in world.hosts.items()
         if name in before
     }
 
--- a/coveflow/lab/serve.py
+++ b/coveflow/lab/serve.py
@@ -84,7 +84,7 @@
 
     def fill(self, tasks: int, nodes: list[str]) -> None:
         """Begin with so many tasks of the task API that are over, as a long service leaves them."""
-        from coveflow.lab.filled import fill
+        from coveflow.lab.prefilled_store import fill
 
         fill(self.store, tasks, nodes)
 
--- a/coveflow/lab/choices.py
+++ b/coveflow/lab/stepwise_model.py
@@ -1,11 +1,12 @@
-"""Controllers, machines and a job whose every step is a choice, for the model check.
+"""The model that the model check explores: controllers, machines and a job, one choice a step.
 
 The nodes are the daemon's own `Owner` with its records and the membership's own take-over and
-hand-over, driven step by step: each call to the state service is applied, answered or lost as the
-search says. Reports, answers and transactions may be late or repeated, holds end at any moment
-(doubt that is wrong included), processes crash, leases run out, machines are returned.
+hand-over, driven step by step: the search decides whether each call to the state service is
+applied, answered or lost. Reports, answers and transactions may be late or duplicated, member
+leases end at any moment (also those of live nodes), processes crash, worker leases expire, and
+machines are returned to the cloud.
 
-Time moves by choices only, so bounds are on steps, not on seconds.
+Only choices advance the clock, so bounds are on steps, not on seconds.
 """
 
 from __future__ import annotations
@@ -39,40 +40,40 @@
 Choice = tuple[str, ...]
 JOB = "j-000001"
 LIMITS = Limits(report_s=1.0, lease_s=20.0, gang_wait_s=20.0, gang_peer_s=5.0, cancel_s=90.0)
-STEP_S = 1.0  # s that one choice of time moves the clock
-RUN_S = 1e6  # s a task runs: it ends when the search says so
-SHORT_S = 45.0  # s; `cancel_s` where cancellations are what it is about
-WHILE_S = 14.0  # s of a longer wait, within which a lease is renewed in time
-# How often each thing may happen on one path.
+STEP_S = 1.0  # s by which the choice "time" advances the clock
+RUN_S = 1e6  # s a task runs; it ends earlier by the choice "finish"
+SHORT_CANCEL_S = 45.0  # s; `cancel_s` of the cancellation model
+WHILE_S = 14.0  # s of the choice "while"; less than a lease, so it can be renewed in time
+# How often each choice may occur on one path.
 BOUNDS = {"time": 8, "long": 1, "crash": 1, "hold": 2, "lose": 1, "again": 1, "late": 1,
           "hand": 1, "cancel": 1, "expire": 1, "word": 0, "while": 0}  # fmt: skip
-# The same on the long random paths.
-WIDE = {"time": 60, "long": 2, "crash": 2, "hold": 4, "lose": 3, "again": 3, "late": 3,
+# The same for the long random paths.
+LONG_PATH_BOUNDS = {"time": 60, "long": 2, "crash": 2, "hold": 4, "lose": 3, "again": 3, "late": 3,
         "hand": 2, "cancel": 1, "expire": 2, "word": 0, "while": 0}  # fmt: skip
-# And where it is about cancellations, which matter only after more than a lease.
-CANCELLED = WIDE | {"word": 16, "while": 12, "long": 0, "time": 4}
+# For paths about cancellations, whose rules apply only after more than a lease.
+CANCELLATION_BOUNDS = LONG_PATH_BOUNDS | {"word": 16, "while": 12, "long": 0, "time": 4}
 
 
-class Broken(AssertionError):
-    """A rule does not hold; `path` leads there."""
+class RuleBroken(AssertionError):
+    """A rule of the protocol is broken; `path` reproduces it."""
 
     def __init__(self, text: str, path: list[Choice]) -> None:
         super().__init__(f"{text} after {len(path)} steps: {' '.join('.'.join(p) for p in path)}")
         self.text, self.path = text, path
 
 
-class Op:
-    """A call to the state service that waits for the search to decide about it."""
+class StoreCall:
+    """A call to the state service that waits for the search to decide its outcome."""
 
     def __init__(self, kind: str, *args: Any) -> None:
         self.kind, self.args = kind, args
 
-    def __await__(self) -> Generator[Op, Any, Any]:
+    def __await__(self) -> Generator[StoreCall, Any, Any]:
         return (yield self)
 
 
-class Calls(client.Store):
-    """The client with its own logic of sure commits; only the requests are the search's."""
+class SteppedStore(client.Store):
+    """The store client with its own commit retries; the search decides about each request."""
 
     def __init__(self) -> None:
         self.clock = lambda: 0.0
@@ -81,26 +82,25 @@
         pass
 
     async def get(self, key: str) -> Any:
-        return await Op("get", key)
+        return await StoreCall("get", key)
 
     async def list(self, prefix: str) -> Any:
-        return await Op("list", prefix)
+        return await StoreCall("list", prefix)
 
     async def _commit_hedged(self, transaction: Transaction) -> Any:
-        return await self.commit(
-            transaction.guards, transaction.writes
-        )  # copies are the search's own choices
+        # Duplicated transactions are choices of the search.
+        return await self.commit(transaction.guards, transaction.writes)
 
     async def commit(self, guards: Any, writes: Any, grant: int | None = None) -> Any:
-        return await Op("commit", dict(guards), cbor2.dumps(writes))
+        return await StoreCall("commit", dict(guards), cbor2.dumps(writes))
 
 
 @dataclass(eq=False)
-class Call:
-    """A coroutine of a node that waits at a call; `outcome` is set once it was applied."""
+class PendingCall:
+    """A node's coroutine suspended at a store call; `outcome` is set once the call is applied."""
 
-    work: Coroutine[Op, Any, Any]
-    op: Op
+    work: Coroutine[StoreCall, Any, Any]
+    op: StoreCall
     outcome: Any = None
     applied: bool = False
 
@@ -110,16 +110,16 @@
     name: str
     owner: Owner
     membership: Membership
-    seen: int  # revision up to which the watch has told
+    seen: int  # revision up to which the watch has delivered
     process: str
-    txn: Call | None = None
-    lead: Call | None = None
+    txn: PendingCall | None = None
+    lead: PendingCall | None = None
     returns: list[str] = field(default_factory=list)
-    asked: list[str] = field(default_factory=list)  # returns that the cloud will answer
+    awaiting_return: list[str] = field(default_factory=list)  # asked of the cloud, unanswered
 
 
-class _Seat:
-    """The owner as membership sees it, without a queue."""
+class _DirectOwnerInterface:
+    """The owner interface for membership; it calls the owner directly, without a queue."""
 
     def __init__(self, owner: Owner) -> None:
         self.owner = owner
@@ -135,8 +135,8 @@
 
 
 @dataclass(eq=False)
-class Sent:
-    """A worker's report under way, and its answer if there is one."""
+class ReportInFlight:
+    """A worker's report in flight, and its answer if there is one."""
 
     report: Report
     node: str
@@ -146,7 +146,7 @@
 
 
 class Model:
-    """The world of the search; `choices` are possible now, `do` carries one out."""
+    """The model's state; `choices` lists the possible steps, `do` executes one."""
 
     def __init__(
         self,
@@ -156,20 +156,21 @@
         at_once: int = 2,
         bounds: dict[str, int] = BOUNDS,
     ) -> None:
-        """`at_once`: tasks that the team's limit allows at the same time."""
+        """`at_once`: tasks that the team's limit allows to run concurrently."""
         self.now = 0.0
         self.left = dict(bounds)
-        # Whether it is about cancellations: leases are renewed by what is known of these then.
-        self.judged = bounds["word"] > 0
-        self.limits = replace(LIMITS, cancel_s=SHORT_S) if self.judged else LIMITS
+        # In the cancellation model, nodes renew leases only while their knowledge of
+        # cancellations is recent.
+        self.cancel_model = bounds["word"] > 0
+        self.limits = replace(LIMITS, cancel_s=SHORT_CANCEL_S) if self.cancel_model else LIMITS
         self.path: list[Choice] = []
         team = s.Team(name="blue", cpus_max=2.0 * at_once)
         self.flavor = Flavor("m", 2.0, 0.0, 8.0, 20.0, 100.0, 1.0, 0.3, 1.0, ["north"])
         self.store = Store(1e9, 1e9, 16.0, 16)
         self.checker = Checker([team], self.limits.cancel_s, LIMITS.lease_s)
-        self.boots = 0  # processes so far, for their names
+        self.boots = 0  # processes started so far, for their names
         self.cleared: set[tuple[Any, ...]] = set()
-        self.runs: dict[tuple[str, int, int], str] = {}  # attempts told, by machine
+        self.runs: dict[tuple[str, int, int], str] = {}  # machine by attempt that was ordered
         spec = Spec(
             JOB, "tally", "blue", "array", 1, tasks, 2.0, 0.0, 1.0, "i", 0.0, None, None, False,
             False, False, RUN_S, 0.0, 0.0, None,
@@ -190,9 +191,9 @@
             )
             for i in range(machines)
         }  # fmt: skip
-        self.sent: dict[str, Sent] = {}
-        self.late: list[Sent] = []  # given up by their workers, still under way
-        self.old: tuple[dict[str, int], bytes] | None = None  # a copy that may arrive again
+        self.sent: dict[str, ReportInFlight] = {}
+        self.late: list[ReportInFlight] = []  # given up by their workers, still in flight
+        self.old: tuple[dict[str, int], bytes] | None = None  # a transaction that may arrive again
         self.nodes = {name: self._boot(name) for name in names}
         self.down: list[str] = []
 
@@ -218,7 +219,7 @@
     def _boot(self, name: str) -> Node:
         owner = Owner(self.settings[name], s.Tuning(), lambda: self.now, lambda: self.now)
         membership = Membership(
-            self.settings[name], Calls(), _Seat(owner), lambda: self.now,  # type: ignore[arg-type]
+            self.settings[name], SteppedStore(), _DirectOwnerInterface(owner), lambda: self.now,  # type: ignore[arg-type]
             lambda: False, lambda: sorted(owner.inbox.members), lambda: False,
             lambda name: False, lambda: self.now, "",
         )  # fmt: skip
@@ -260,9 +261,9 @@
         except Conflict as conflict:
             node.owner.process_batch([cm.CommitResult(txn, None, conflict.failed)])
 
-    def _start(self, work: Coroutine[Op, Any, Any]) -> Call | None:
+    def _start(self, work: Coroutine[StoreCall, Any, Any]) -> PendingCall | None:
         try:
-            return Call(work, work.send(None))
+            return PendingCall(work, work.send(None))
         except StopIteration:
             return None
 
@@ -286,9 +287,9 @@
                 found.append(("watch", name))
             if left["word"]:
                 if node.owner.cancellations.store_known_until < self.now:
-                    found.append(("word", name, ""))  # of the store, that nothing changed
+                    found.append(("word", name, ""))  # the store reports no change
                 found += [("word", name, other) for other in self.nodes if other != name]
-            if self.judged and left["cancel"] and self.store.get(sk.JOB + JOB) is not None:
+            if self.cancel_model and left["cancel"] and self.store.get(sk.JOB + JOB) is not None:
                 found.append(("cancel", name))
             if left["time"]:
                 found.append(("time", name))
@@ -298,7 +299,7 @@
                 found.append(("hand", name))
             if node.returns:
                 found.append(("return", name))
-            if node.asked:
+            if node.awaiting_return:
                 found.append(("gone", name))
             if left["crash"]:
                 found.append(("crash", name))
@@ -327,7 +328,7 @@
             found.append(("arrive",))
         if self.old is not None and left["again"]:
             found.append(("again",))
-        if not self.judged and left["cancel"] and self.store.get(sk.JOB + JOB) is not None:
+        if not self.cancel_model and left["cancel"] and self.store.get(sk.JOB + JOB) is not None:
             found.append(("cancel", min(self.nodes, default="")))
         if left["long"]:
             found.append(("long",))
@@ -344,7 +345,7 @@
             self.checker._not_cancelled(job, task, self.now)
         if self.checker.broken:
             first = self.checker.broken[0]
-            raise Broken(f"{first.rule}: {first.text}", self.path)
+            raise RuleBroken(f"{first.rule}: {first.text}", self.path)
 
     def _do_apply(self, name: str, which: str) -> None:
         call = getattr(self.nodes[name], which)
@@ -365,17 +366,17 @@
     def _do_answer(self, name: str, which: str) -> None:
         node = self.nodes[name]
         call = getattr(node, which)
-        # What follows may begin the next transaction, so this one is over first.
+        # Cleared first, since resuming the coroutine may start the next transaction.
         setattr(node, which, None)
-        self._go_on(node, which, call, call.outcome)
+        self._resume(node, which, call, call.outcome)
 
     def _do_lose(self, name: str, which: str) -> None:
         node = self.nodes[name]
         call = getattr(node, which)
         setattr(node, which, None)
-        self._go_on(node, which, call, UnknownOutcome("no answer"))
+        self._resume(node, which, call, UnknownOutcome("no answer"))
 
-    def _go_on(self, node: Node, which: str, call: Call, outcome: Any) -> None:
+    def _resume(self, node: Node, which: str, call: PendingCall, outcome: Any) -> None:
         try:
             if isinstance(outcome, Exception):
                 op = call.work.throw(outcome)
@@ -383,7 +384,7 @@
                 op = call.work.send(outcome)
         except StopIteration:
             return
-        setattr(node, which, Call(call.work, op))
+        setattr(node, which, PendingCall(call.work, op))
 
     def _do_watch(self, name: str) -> None:
         node = self.nodes[name]
@@ -393,28 +394,28 @@
         node.owner.cancellations.record_store_contact(self.now)
 
     def _do_word(self, name: str, other: str) -> None:
-        """One node asks another what it confirmed to users, or the store, and hears it at once."""
+        """A node receives another's confirmed cancellations; `other` "": the store's changes."""
         if not other:
             self._do_watch(name)
             return
-        asked = self.nodes[other]
-        word = cm.PeerCancellations(
-            other, asked.process, asked.owner.cancellations.recently_confirmed(self.now), self.now
+        peer = self.nodes[other]
+        cancellations = cm.PeerCancellations(
+            other, peer.process, peer.owner.cancellations.recently_confirmed(self.now), self.now
         )
-        self.nodes[name].owner.process_batch([word])
+        self.nodes[name].owner.process_batch([cancellations])
 
     def _do_time(self, name: str) -> None:
         self.now += STEP_S
         self.nodes[name].owner.process_batch([cm.Tick()])
 
     def _do_long(self) -> None:
-        """Longer than any lease and any patience."""
+        """Advances the clock by more than any lease and timeout."""
         self.now += LIMITS.lease_s + c.SILENT_MARGIN_S + 1.0
         for worker in self.workers.values():
             worker.advance(self.now)
 
     def _do_while(self) -> None:
-        """Less than a lease, and long enough for a cancellation to grow old."""
+        """Advances the clock by less than a lease; a few such steps exceed `cancel_s`."""
         self.now += WHILE_S
         for worker in self.workers.values():
             worker.advance(self.now)
@@ -425,19 +426,21 @@
 
     def _do_hand(self, name: str) -> None:
         node = self.nodes[name]
-        node.lead = self._start(_quiet(node.membership._hand_over("the search says so")))
+        node.lead = self._start(
+            _ignore_failures(node.membership._hand_over("chosen by the search"))
+        )
 
     def _do_return(self, name: str) -> None:
-        """The node asks the store whether it still leads, as it does before the cloud."""
+        """The node checks at the store that it still leads, as before each call to the cloud."""
         node = self.nodes[name]
         machines, node.returns = node.returns, []
         row = self.store.get(sk.VIEW)
         if row is not None and row.rev == node.owner.state.rev and node.owner.leading:
-            node.asked += machines
+            node.awaiting_return += machines
 
     def _do_gone(self, name: str) -> None:
         node = self.nodes[name]
-        machines, node.asked = node.asked, []
+        machines, node.awaiting_return = node.awaiting_return, []
         for machine in machines:
             self.workers[machine].die(self.now)
             self.sent.pop(machine, None)
@@ -461,12 +464,12 @@
         self.nodes[name] = self._boot(name)
 
     def _do_hold(self, name: str) -> None:
-        """Its hold ends, whether it is alive or not."""
+        """The node's member lease expires, whether the node is alive or not."""
         self._write({sk.MEMBER + name: None})
 
     def _do_report(self, name: str, node: str) -> None:
         worker = self.workers[name]
-        self.sent[name] = Sent(worker.report(self.now), node, self.now)
+        self.sent[name] = ReportInFlight(worker.report(self.now), node, self.now)
 
     def _do_take(self, name: str) -> None:
         sent = self.sent[name]
@@ -475,11 +478,11 @@
         if node is None:
             del self.sent[name]  # refused
             return
-        if self.judged and not node.owner.cancellations.may_renew(self.now):
+        if self.cancel_model and not node.owner.cancellations.may_renew(self.now):
             del self.sent[name]  # 503
             return
         if not node.owner.leading:
-            # As any member: the lease, and stops of what is cancelled.
+            # A follower renews the lease and sends stop orders of cancelled jobs.
             inbox = node.owner.inbox
             sent.answer = (inbox.view.epoch, inbox.stops(sent.report))
             return
@@ -501,8 +504,8 @@
             self._orders(worker, orders)
         worker.answered(sent.report.tenure, sent.at, epoch, orders, self.now)
 
-    def _judge(self, name: str, sent: Sent, orders: list[Order]) -> None:
-        if self.judged:
+    def _judge(self, name: str, sent: ReportInFlight, orders: list[Order]) -> None:
+        if self.cancel_model:
             self.checker.see({
                 "kind": "renewed", "at": self.now, "sent": sent.at, "machine": name,
                 "live": [(t.job, t.task) for t in sent.report.tasks if t.state != "exited"],
@@ -516,13 +519,13 @@
                 self.cleared.add(key)
             elif order.verb == "run":
                 if key in self.cleared:
-                    raise Broken(f"run after clear: {key}", self.path)
+                    raise RuleBroken(f"run after clear: {key}", self.path)
                 before = self.runs.setdefault((order.job, order.task, order.number), worker.name)
                 if before != worker.name:
-                    raise Broken(f"try reused: {key}, before on {before}", self.path)
+                    raise RuleBroken(f"try reused: {key}, before on {before}", self.path)
 
     def _do_late(self, name: str) -> None:
-        """The worker gives the report up; it may still arrive."""
+        """The worker gives up waiting; the report may still arrive."""
         sent = self.sent.pop(name)
         if not sent.taken:
             self.late.append(sent)
@@ -536,7 +539,7 @@
             )
 
     def _do_again(self) -> None:
-        """A copy of a transaction arrives once more."""
+        """A duplicate of an earlier transaction arrives."""
         assert self.old is not None
         with contextlib.suppress(Failed):
             self._write(cbor2.loads(self.old[1]), self.old[0])
@@ -551,7 +554,7 @@
         worker.advance(self.now)
 
     def _do_cancel(self, name: str) -> None:
-        """That node commits it and tells the user so."""
+        """The node commits the cancellation and confirms it to the user."""
         row = self.store.get(sk.JOB + JOB)
         assert row is not None
         self._write({sk.JOB + JOB: {**row.value, "cancel": self.now}}, {sk.JOB + JOB: row.rev})
@@ -569,7 +572,7 @@
                 "why": attempt.why,
             })  # fmt: skip
 
-    # --- what makes two states the same --------------------------------------------------
+    # --- state identity ----------------------------------------------------------------------
 
     def key(self) -> bytes:
         parts: list[Any] = [round(self.now, 3), sorted(self.left.items()), self.down]
@@ -583,7 +586,7 @@
             parts.append([
                 name, node.seen, state.leading, state.rev, inbox.view.epoch, inbox.view.leader,
                 sorted(inbox.members), state.records.seq, list(state.dirty_machines),
-                list(state.dirty_jobs), node.returns, node.asked, state.pass_due,
+                list(state.dirty_jobs), node.returns, node.awaiting_return, state.pass_due,
                 round(node.owner.planning.next_pass, 3), round(node.owner.commits.next_commit, 3),
                 [[m.id, m.tenure, m.counter, m.epoch, m.up, m.returning, m.returning_for_silence,
                   sorted(m.uncommitted_ends),
@@ -604,8 +607,8 @@
         return hashlib.blake2b(repr(parts).encode(), digest_size=12).digest()
 
 
-async def _quiet(work: Coroutine[Any, Any, None]) -> None:
-    """A hand-over that fails is tried again by its loop; the search may choose it again."""
+async def _ignore_failures(work: Coroutine[Any, Any, None]) -> None:
+    """Ignores a failed hand-over: the search may choose it again."""
     with contextlib.suppress(Conflict, UnknownOutcome):
         await work
 
@@ -618,11 +621,11 @@
 
 @contextlib.contextmanager
 def stepped() -> Iterator[None]:
-    """Pauses between tries are no choices: the next try comes when the search says so."""
+    """Removes the pauses between retries: the search decides when a retry happens."""
     import coveflow.membership.leadership as lead
 
-    class Now:
-        """asyncio, but for pauses."""
+    class AsyncioWithoutPauses:
+        """asyncio without pauses."""
 
         def __getattr__(self, name: str) -> Any:
             import asyncio
@@ -634,7 +637,7 @@
             return None
 
     real = client.asyncio, lead.asyncio
-    client.asyncio = lead.asyncio = Now()  # type: ignore[assignment]
+    client.asyncio = lead.asyncio = AsyncioWithoutPauses()  # type: ignore[assignment]
     try:
         yield
     finally:
--- a/coveflow/lab/virtual.py
+++ b/coveflow/lab/virtual.py
@@ -1,9 +1,10 @@
-"""Whole controllers in virtual time: the daemon's own `Node` on a made-up network.
+"""Simulates whole controllers in virtual time: the daemon's own `Node` on a simulated network.
 
-Each host has an event loop of its own on one shared clock, so that one can stand still, end or be
-cut off while the others go on; nothing waits for real time. State service, cloud and workers are
-the lab's stand-ins. What `whatif.world` leaves out is what this is for: pings, holds, watches,
-redirects, batches, timeouts and retries, the very code that notices and hands over.
+Each host has its own event loop on one shared clock, so one host can be paused, ended or cut off
+while the others continue; nothing waits for real time. State service, cloud and workers are the
+lab's simulated ones. In contrast to `whatif.world`, this runs the code for pings, member leases,
+watches, redirects, report batches, timeouts and retries, including failure detection and
+hand-over.
 """
 
 from __future__ import annotations
@@ -43,35 +44,36 @@
 from coveflow.wire import remote
 
 Handler = Callable[[Any], Awaitable[web.StreamResponse]]
-LATE_PART, LATE_S = 0.25, (2.0, 12.0)  # of transactions without an answer, and s to their effect
-COMMAND_LATE_S = (2.0, 16.0)  # s by which direct commands that are held up come late
-POLL_S = 5.0  # s between a user's polls for a job; the protocol's own number
-BURST_S = (0.0, 0.02, 0.3, 0.8, 2.0)  # s after an event at which all are asked about its job
+# Share of the transactions that get no answer, and s until these are applied.
+LATE_SHARE, LATE_S = 0.25, (2.0, 12.0)
+COMMAND_LATE_S = (2.0, 16.0)  # s by which delayed direct commands are late
+POLL_S = 5.0  # s between a user's polls for a job, as the protocol states
+BURST_S = (0.0, 0.02, 0.3, 0.8, 2.0)  # s after an event at which all nodes are polled for its job
 SPREAD_S = 0.005  # s within which the requests of one such burst are sent
-LOST_S = 1e6  # s after which nobody waits for an answer any more
-STATE, CLOUD, FLEET = "state", "cloud", "fleet"  # the hosts that are no controllers
+LOST_S = 1e6  # s of sleep for requests that are never answered
+STATE, CLOUD, FLEET = "state", "cloud", "fleet"  # hosts that are not controllers
 
 
 class _NoFiles(selectors.SelectSelector):
-    """No file is ever ready, and nobody waits for one."""
+    """A selector without files that returns at once."""
 
     def select(self, timeout: float | None = None) -> list[Any]:
         return []
 
 
 class Loop(asyncio.SelectorEventLoop):
-    """An event loop whose time is the world's; run one turn at a time."""
+    """An event loop on the world's clock, run one iteration at a time."""
 
     def __init__(self, world: World, drift: float = 0.0) -> None:
         super().__init__(_NoFiles())
         self.world, self.rate = world, 1.0 + drift
-        self.spent_s = 0.0  # s of real time in its turns
+        self.spent_s = 0.0  # s of real time spent in its iterations
         self.set_exception_handler(lambda loop, context: None)
 
     def time(self) -> float:
         return self.world.now * self.rate
 
-    # What is due is private to asyncio's loops; a stepped loop cannot do without it.
+    # asyncio has no public access to the ready and scheduled callbacks.
     def ready(self) -> bool:
         return bool(self._ready)  # type: ignore[attr-defined]
 
@@ -89,8 +91,8 @@
 
 
 @dataclass(eq=False)
-class Place:
-    """A host: its loop, and who answers on its addresses (path prefix is not looked at)."""
+class SimulatedHost:
+    """A host: its event loop and the request handlers of its addresses (any path)."""
 
     name: str
     zone: str
@@ -102,27 +104,28 @@
 
 
 @dataclass(frozen=True)
-class Fate:
-    """What becomes of a transaction: when it is carried out, and whether its answer arrives."""
+class CommitOutcome:
+    """When a transaction is applied, and whether its answer arrives."""
 
     after_s: float = 0.0
     answered: bool = True
 
 
-LOST_ANSWER = Fate(answered=False)  # carried out at once, and whoever sent it hears nothing
+LOST_ANSWER = CommitOutcome(answered=False)  # applied at once, without an answer
 
 
 @dataclass
 class Cut:
-    """Messages for which `between` holds are held back, refused or reset until then."""
+    """A network partition: until `until`, messages matching `between` are delayed, refused or
+    reset."""
 
     until: float
-    between: Callable[[Place, Place], bool]
+    between: Callable[[SimulatedHost, SimulatedHost], bool]
     mode: str = "hold"
 
 
 class Request:
-    """What handlers ask of aiohttp's request."""
+    """The parts of aiohttp's request that handlers use."""
 
     def __init__(self, method: str, path: str, query: dict[str, str], body: bytes) -> None:
         self.method, self.path, self.query = method, path, query
@@ -137,9 +140,9 @@
 
 
 class Session:
-    """In a client session's place: requests of one host over the made-up network."""
+    """Replaces aiohttp's client session: one host's requests over the simulated network."""
 
-    def __init__(self, world: World, me: Place) -> None:
+    def __init__(self, world: World, me: SimulatedHost) -> None:
         self.world, self.me = world, me
 
     async def close(self) -> None:
@@ -156,31 +159,31 @@
         self.world.send(self.me, address, request, future)
         async with asyncio.timeout(timeout.total if timeout is not None else None):
             status, body = await future
-        yield SimpleNamespace(status=status, read=_given(body))
+        yield SimpleNamespace(status=status, read=_reader(body))
 
 
 @dataclass
-class Made:
-    """When the answer to a report was made, and the jobs it runs though they were known there to
-    be cancelled."""
+class AnswerCheck:
+    """When a report was answered, and the jobs that the answer runs although the answering node
+    knew them as cancelled."""
 
     at: float
     known: list[str] = field(default_factory=list)
 
 
 def answer_of(response: web.StreamResponse) -> bytes:
-    """The body that the handler gave; empty where it has none."""
+    """The body of the handler's response; empty if there is none."""
     body = getattr(response, "body", None)
     return body if isinstance(body, bytes) else b""
 
 
-async def _quiet(work: Awaitable[Any]) -> None:
-    """What fails is tried again by its own loop."""
+async def _ignore_failures(work: Awaitable[Any]) -> None:
+    """Ignores failures that the node's own loop retries."""
     with contextlib.suppress(Conflict, Unavailable):
         await work
 
 
-def _given(body: bytes) -> Callable[[], Awaitable[bytes]]:
+def _reader(body: bytes) -> Callable[[], Awaitable[bytes]]:
     async def read() -> bytes:
         return body
 
@@ -188,107 +191,108 @@
 
 
 class Fleet(serve.FleetServer):
-    """The cloud and its workers; their requests go over the made-up network."""
+    """The cloud and its workers; their requests go over the simulated network."""
 
     def __init__(self, world: World, site: sites.Site) -> None:
         self.world = world
         super().__init__(site, {"nodes": list(world.controllers), "history": os.devnull})
 
-        self.deaf: dict[str, tuple[float, float]] = {}  # to which nothing comes: since, until
-        self.away: dict[str, tuple[float, float]] = {}  # out of reach both ways: since, until
-        self.mute: dict[str, tuple[float, float]] = {}  # reach no controller: since, until
-        self.copies = (0.0, 0.0, 0.0)  # of what part of the reports, s late at most, until when
-        self.late_commands = (0.0, 0.0)  # what part of direct commands is held up, until when
-        self.kept_part = 0.0  # of the reports that is kept for the next leader
+        # Machines by the kind of their communication fault.
+        self.deaf: dict[str, tuple[float, float]] = {}  # receives nothing: since, until
+        self.away: dict[str, tuple[float, float]] = {}  # unreachable both ways: since, until
+        self.mute: dict[str, tuple[float, float]] = {}  # cannot send: since, until
+        self.copies = (0.0, 0.0, 0.0)  # duplicated reports: share, maximum delay in s, until when
+        self.late_commands = (0.0, 0.0)  # delayed direct commands: share, until when
+        self.kept_share = 0.0  # share of the reports that is kept for the next leader
         self.kept: list[tuple[Worker, bytes]] = []
 
     def note(self, kind: str, at: float, worker: Worker, attempt: Attempt) -> None:
-        self.world.noted(kind, at, worker, attempt)
+        self.world.on_attempt_event(kind, at, worker, attempt)
 
     async def _post(self, worker: Worker, node: str, body: bytes) -> tuple[int, bytes]:
         sent, world = self.world.now, self.world
         part, most_s, until = self.copies
         if sent < until and world.random.random() < part:
             again = world.random.choice([node, *world.controllers])
-            self._again(worker, again, body, sent + world.random.uniform(1.0, most_s))
-        if world.random.random() < self.kept_part:
+            self._deliver_late(worker, again, body, sent + world.random.uniform(1.0, most_s))
+        if world.random.random() < self.kept_share:
             self.kept.append((worker, body))
         if sent < self.mute.get(worker.name, (0.0, 0.0))[1]:
             return 0, b""
         away = self.away.get(worker.name, (0.0, 0.0))[1]
         if sent < away:
-            # Its packets are held back and arrive when nobody waits for an answer any more.
-            self._again(worker, node, body, away + 0.01)
+            # Its packets are delayed and arrive after the answer timeout.
+            self._deliver_late(worker, node, body, away + 0.01)
             await asyncio.sleep(serve.ANSWER_S)
             return 0, b""
         status, answer = await super()._post(worker, node, body)
-        while worker.hung_at is not None and worker.alive:  # noqa: ASYNC110 - of the lab's model
-            await asyncio.sleep(0.05)  # it takes what came when it goes on, or drops it as too late
+        while worker.hung_at is not None and worker.alive:  # noqa: ASYNC110 - simulated time
+            await asyncio.sleep(0.05)  # once resumed it takes the answer, or drops it as too late
         if world.now - sent >= serve.ANSWER_S:
             return 0, b""
         if world.now < self.deaf.get(worker.name, (0.0, 0.0))[1]:
             await asyncio.sleep(max(0.0, sent + serve.ANSWER_S - world.now))
             return 0, b""
         if status == 200:
-            made = world.made.pop(body, Made(sent))
-            self._judged(worker, wire.read_report(body), answer, sent, made)
+            made = world.answer_checks.pop(body, AnswerCheck(sent))
+            self._check_renewal(worker, wire.read_report(body), answer, sent, made)
         return status, answer
 
-    def _again(self, worker: Worker, node: str, body: bytes, at: float) -> None:
-        """The report arrives then, and nobody waits for its answer."""
+    def _deliver_late(self, worker: Worker, node: str, body: bytes, at: float) -> None:
+        """Delivers the report at `at`; its answer is ignored."""
         self.world.at(
             at,
-            lambda: self.world.places[FLEET].loop.create_task(
+            lambda: self.world.hosts[FLEET].loop.create_task(
                 self._ask(worker.zone, node, "POST", wire.REPORT_PATH, body)
             ),
         )
 
     def keep_reports(self, part: float) -> None:
-        """That part of the reports comes once more, to the next leader as it begins."""
-        epoch, self.kept_part = self.world.epoch(), part
+        """Delivers this share of the reports again, to the next leader when it starts leading."""
+        epoch, self.kept_share = self.world.epoch(), part
 
         def begun() -> bool:
             leader = self.world.leader()
             return bool(leader) and self.world.node(leader).owner.leading > epoch
 
-        self.world.when(begun, lambda: self.deliver_kept([self.world.leader()]))
+        self.world.when(begun, lambda: self.deliver_kept_reports([self.world.leader()]))
 
-    def deliver_kept(self, nodes: list[str]) -> None:
-        """What was kept arrives at these nodes now, each machine's in the order it was sent."""
-        kept, self.kept, self.kept_part = self.kept, [], 0.0
+    def deliver_kept_reports(self, nodes: list[str]) -> None:
+        """Delivers the kept reports to these nodes now, in sending order for each machine."""
+        kept, self.kept, self.kept_share = self.kept, [], 0.0
         apart_s = self.world.latency[1]
         sent: Counter[str] = Counter()
         for worker, body in kept:
             for node in nodes:
-                self._again(worker, node, body, self.world.now + apart_s * sent[worker.name])
+                self._deliver_late(worker, node, body, self.world.now + apart_s * sent[worker.name])
             sent[worker.name] += 1
 
     async def serve_machine(self, name: str, request: Request) -> web.StreamResponse:
-        """A machine's own address, as the trouble of the moment leaves it."""
+        """Serves a request to a machine's own address, subject to the current faults."""
         world, worker = self.world, self.workers[name]
         lost_until = max(table.get(name, (0.0, 0.0))[1] for table in (self.deaf, self.away))
         if world.now < lost_until:
-            await asyncio.sleep(LOST_S)  # it never came
+            await asyncio.sleep(LOST_S)  # the request is lost
             return web.Response(status=503)
         part, until = self.late_commands
-        held_up = world.now < until and request.path == wire.COMMANDS_PATH
-        if held_up and world.random.random() < part:
+        delayed = world.now < until and request.path == wire.COMMANDS_PATH
+        if delayed and world.random.random() < part:
             await asyncio.sleep(world.random.uniform(*COMMAND_LATE_S))
             await self._machine(worker, request)
-            await asyncio.sleep(LOST_S)  # nobody is told
+            await asyncio.sleep(LOST_S)  # the answer is lost
         return await self._machine(worker, request)
 
     async def _machine(self, worker: Worker, request: Request) -> web.StreamResponse:
-        while worker.hung_at is not None and worker.alive:  # noqa: ASYNC110 - of the lab's model
+        while worker.hung_at is not None and worker.alive:  # noqa: ASYNC110 - simulated time
             await asyncio.sleep(0.05)
         if not worker.alive:
             return web.Response(status=503)
         return await self._commands(worker)(request)
 
-    def _judged(
-        self, worker: Worker, report: Report, answer: bytes, sent: float, made: Made
+    def _check_renewal(
+        self, worker: Worker, report: Report, answer: bytes, sent: float, made: AnswerCheck
     ) -> None:
-        """The checker looks at each answer that renews the worker's lease."""
+        """Reports each answer that renews the worker's lease to the checker."""
         epoch, _, orders = remote.read_orders(answer)
         if not worker.alive or worker.tenure != report.tenure or (epoch or 0) < worker.epoch:
             return
@@ -302,17 +306,17 @@
         })  # fmt: skip
 
     def hang(self, name: str, for_s: float) -> None:
-        """The machine stands still, and goes on where it was if its lease allows."""
+        """Pauses the machine's process; it resumes if its lease is still valid."""
         worker = self.workers[name]
         worker.hang(self.world.now)
         self.world.at(self.world.now + for_s, lambda: worker.resume(self.world.now))
 
     def restart(self, name: str, tenure: int) -> None:
-        """The machine is back at once, with nothing on it, and counts its reports from one."""
+        """Restarts the machine empty; its report counter starts from one."""
         old = self.workers[name]
         old.die(self.world.now)
         host = next(h for h in self.cloud.hosts.values() if h.name == name)
-        self.world.places[FLEET].loop.create_task(self._boot(host, tenure))
+        self.world.hosts[FLEET].loop.create_task(self._boot(host, tenure))
 
     async def _boot(self, host: Host, tenure: int = 1) -> None:
         await asyncio.sleep(max(0.0, host.up - self.world.now))
@@ -332,7 +336,7 @@
     async def _ask(
         self, zone: str, node: str, method: str, path: str, body: bytes | None
     ) -> tuple[int, bytes]:
-        me = self.world.zones[zone]
+        me = self.world.worker_hosts[zone]
         timeout = aiohttp.ClientTimeout(total=serve.ANSWER_S)
         url = f"http://{node}:80{path}"
         try:
@@ -345,9 +349,9 @@
 
 
 class World:
-    """Controllers, state service, cloud and workers; `run` plays it up to a time, in s.
+    """Controllers, state service, cloud and workers; `run` simulates them up to a time, in s.
 
-    Raises AssertionError when a rule of the protocol breaks. The same seed gives the same run.
+    Raises AssertionError when a rule of the protocol is broken. Runs are deterministic by seed.
     """
 
     def __init__(
@@ -363,40 +367,44 @@
         self.tuning = tuning or s.Tuning()
         self.random = random.Random(seed)
         self.latency = latency
-        self.drifts = drifts or {}  # by controller: of its steady clock, and s its day time is off
+        # By controller: drift of its monotonic clock, and s by which its wall clock is off.
+        self.drifts = drifts or {}
         self.now = 0.0
         self.order = itertools.count()
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.awaited: list[tuple[Callable[[], bool], Callable[[], None]]] = []
-        self.places: dict[str, Place] = {}
-        self.booted: list[Place] = []  # every controller process, also of names started again
+        self.hosts: dict[str, SimulatedHost] = {}
+        self.processes: list[SimulatedHost] = []  # all controller processes, ended ones too
         self.cuts: list[Cut] = []
-        self.kept: set[asyncio.Task[None]] = set()  # what is being served
-        self.report_s = 0.0  # s of processor time that a report costs the leader
+        self.serving: set[asyncio.Task[None]] = set()  # requests being served
+        self.report_cost_s = 0.0  # s of processor time that the leader spends on a report
         self.slow_store: dict[str, float] = {}  # s added to the store's answers to a node
-        self.late_writes_until = 0.0  # some transactions get no answer and are applied late
-        self.lost_answers_until = 0.0  # some are applied at once and get no answer
-        # By controller and request: what becomes of it, or None for what the times above say.
-        self.fate: Callable[[str, Request], Fate | None] = lambda name, request: None
-        self.told: list[tuple[float, str, dict[str, Any]]] = []
-        self.polls = False  # whether users ask for what they submitted
-        self.answers: dict[str, tuple[int, float]] = {}  # job: status of its submission, s it took
-        self.replies: list[Answer] = []  # all that users were answered
-        self.odd_answers: list[tuple[str, int]] = []  # what was odd of a request, and its status
-        self.bursts_until, self.burst_cancels = 0.0, 0.0  # users ask everywhere; part that cancels
-        self.end_cancels = (0.0, 0.0)  # part of the ending jobs that is cancelled, until when
+        self.late_writes_until = 0.0  # some transactions are applied late, without an answer
+        self.lost_answers_until = 0.0  # some are applied at once, without an answer
+        # Chooses the outcome of a controller's commit; None: as the times above say.
+        self.outcome_of: Callable[[str, Request], CommitOutcome | None] = lambda name, request: None
+        self.attempt_events: list[tuple[float, str, dict[str, Any]]] = []
+        self.polls = False  # whether users poll the jobs they submitted
+        self.answers: dict[str, tuple[int, float]] = {}  # by job: submission's status, s taken
+        self.replies: list[Answer] = []  # all answers to users
+        self.odd_answers: list[tuple[str, int]] = []  # kind of an invalid request, and its status
+        # Until when jobs are polled in bursts, and the share of these that is cancelled.
+        self.bursts_until, self.burst_cancels = 0.0, 0.0
+        self.end_cancels = (0.0, 0.0)  # share of the ending jobs that is cancelled, until when
         self.checker = Checker(site.teams, site.limits.cancel_s, site.limits.lease_s, site.flavors)
-        self.made: dict[bytes, Made] = {}  # how the answer to each report was made
+        self.answer_checks: dict[bytes, AnswerCheck] = {}  # by report body
         fleet_loop = Loop(self)
-        self.zones = {zone: Place(f"workers-{zone}", zone, fleet_loop) for zone in site.zones}
+        self.worker_hosts = {
+            zone: SimulatedHost(f"workers-{zone}", zone, fleet_loop) for zone in site.zones
+        }
         with self.virtual():
             self.state = serve.StateServer(site)
             self.fleet = Fleet(self, site)
         for name, handler in ((STATE, None), (CLOUD, self.fleet.serve_cloud)):
-            self.places[name] = Place(name, "", fleet_loop)
+            self.hosts[name] = SimulatedHost(name, "", fleet_loop)
             if handler is not None:
-                self.places[name].handlers["cloud:1"] = handler
-        self.places[FLEET] = Place(FLEET, "", fleet_loop)
+                self.hosts[name].handlers["cloud:1"] = handler
+        self.hosts[FLEET] = SimulatedHost(FLEET, "", fleet_loop)
         fleet_loop.create_task(self.state.run())
         fleet_loop.create_task(self._fleet())
         for name in zones:
@@ -411,7 +419,7 @@
 
     @contextlib.contextmanager
     def virtual(self) -> Iterator[None]:
-        """The stand-ins go by the world's clock."""
+        """Runs the simulated services on the world's clock."""
         real, serve.clock = serve.clock, lambda: self.now
         try:
             yield
@@ -425,7 +433,7 @@
         with self.virtual():
             while not stop():
                 self._settle()
-                if self._look():
+                if self._run_awaited():
                     continue
                 at = min([self.events[0][0] if self.events else INF, *self._due()])
                 if at > until:
@@ -436,11 +444,11 @@
                     heapq.heappop(self.events)[2]()
 
     def close(self) -> None:
-        """End everything that runs; nothing can be played any more."""
-        # What a forgotten process had under way was collected, and told, in a later world.
-        for place in [*self.booted, *self.places.values(), *self.zones.values()]:
-            self._end(place)
-            place.loop.close()
+        """Ends all tasks and closes the loops; the world can't be run afterwards."""
+        # Tasks left over would be garbage-collected, and reported, during a later world.
+        for host in [*self.processes, *self.hosts.values(), *self.worker_hosts.values()]:
+            self._end(host)
+            host.loop.close()
 
     def __enter__(self) -> World:
         return self
@@ -448,28 +456,28 @@
     def __exit__(self, *_: object) -> None:
         self.close()
 
-    def _end(self, place: Place) -> None:
-        place.alive = False
-        for _ in range(3):  # what a cancelled task still does may take another turn
-            if not place.loop.is_closed():
-                for task in asyncio.all_tasks(place.loop):
+    def _end(self, host: SimulatedHost) -> None:
+        host.alive = False
+        for _ in range(3):  # a cancelled task's cleanup may take another iteration
+            if not host.loop.is_closed():
+                for task in asyncio.all_tasks(host.loop):
                     task.cancel()
-                place.loop.turn()
+                host.loop.turn()
 
     def _loops(self) -> list[Loop]:
         found = {
             id(p.loop): p.loop
-            for p in self.places.values()
+            for p in self.hosts.values()
             if p.alive and p.frozen_until <= self.now
         }
         return list(found.values())
 
     def _due(self) -> list[float]:
-        thaws = [p.frozen_until for p in self.places.values() if p.frozen_until > self.now]
+        thaws = [p.frozen_until for p in self.hosts.values() if p.frozen_until > self.now]
         return [loop.next_at() for loop in self._loops()] + thaws
 
     def _settle(self) -> None:
-        """Turn the loops until none has anything to do at this moment."""
+        """Runs the loops until none has a callback due now."""
         busy = True
         while busy:
             busy = False
@@ -482,11 +490,11 @@
             raise AssertionError(f"{first.rule}: {first.text} at {first.at:.2f}")
 
     def when(self, condition: Callable[[], bool], action: Callable[[], None]) -> None:
-        """Do that once, as soon as the condition holds."""
+        """Runs the action once, as soon as the condition holds."""
         self.awaited.append((condition, action))
 
-    def _look(self) -> bool:
-        """Do what was awaited; whether there was any such thing."""
+    def _run_awaited(self) -> bool:
+        """Runs the actions whose conditions hold; returns whether there were any."""
         found = [entry for entry in self.awaited if entry[0]()]
         self.awaited = [entry for entry in self.awaited if entry not in found]
         for _, action in found:
@@ -495,26 +503,28 @@
 
     # --- network -----------------------------------------------------------------------
 
-    def _place(self, address: str) -> Place | None:
-        """The host of an address; None if there is none any more."""
+    def _host_of(self, address: str) -> SimulatedHost | None:
+        """The host of an address; None if it no longer exists."""
         host = address.partition(":")[0]
         worker = self.fleet.workers.get(host)
         if worker is not None:
-            return self.zones[worker.zone]
-        return self.places.get(host)
+            return self.worker_hosts[worker.zone]
+        return self.hosts.get(host)
 
-    def _cut(self, a: Place, b: Place) -> Cut | None:
+    def _cut(self, a: SimulatedHost, b: SimulatedHost) -> Cut | None:
         found = [cut for cut in self.cuts if cut.until > self.now and cut.between(a, b)]
         return max(found, key=lambda cut: cut.until, default=None)
 
-    def _travel(self, a: Place, b: Place, then: Callable[[], None]) -> None:
-        """One way: a held message arrives when the cut is over."""
+    def _travel(self, a: SimulatedHost, b: SimulatedHost, then: Callable[[], None]) -> None:
+        """Delivers one message; a message delayed by a cut arrives when the cut ends."""
         cut = self._cut(a, b)
         start = cut.until if cut is not None else self.now
         self.at(start + self.random.uniform(*self.latency), then)
 
-    def send(self, me: Place, address: str, request: Request, future: asyncio.Future[Any]) -> None:
-        there = self._place(address)
+    def send(
+        self, me: SimulatedHost, address: str, request: Request, future: asyncio.Future[Any]
+    ) -> None:
+        there = self._host_of(address)
         cut = self._cut(me, there) if there is not None else None
         if there is None or (cut is not None and cut.mode != "hold"):
             error = aiohttp.ClientConnectorError(
@@ -525,86 +535,102 @@
         self._travel(me, there, lambda: self._arrive(me, there, address, request, future))
 
     def _arrive(
-        self, me: Place, there: Place, address: str, request: Request, future: asyncio.Future[Any]
+        self,
+        me: SimulatedHost,
+        there: SimulatedHost,
+        address: str,
+        request: Request,
+        future: asyncio.Future[Any],
     ) -> None:
-        there = self.places.get(there.name, there)  # it may have been started again
+        there = self.hosts.get(there.name, there)  # the host may have restarted
         if not there.alive:
-            self._lost(me, there, future)
+            self._reset_connection(me, there, future)
             return
         work = self._serve(me, there, address, request, future)
-        there.loop.call_soon(lambda: self._begin(there, work))
+        there.loop.call_soon(lambda: self._start_serving(there, work))
 
-    def _begin(self, there: Place, work: Any) -> None:
+    def _start_serving(self, there: SimulatedHost, work: Any) -> None:
         task = there.loop.create_task(work)
-        self.kept.add(task)
-        task.add_done_callback(self.kept.discard)
+        self.serving.add(task)
+        task.add_done_callback(self.serving.discard)
 
     async def _serve(
-        self, me: Place, there: Place, address: str, request: Request, future: asyncio.Future[Any]
+        self,
+        me: SimulatedHost,
+        there: SimulatedHost,
+        address: str,
+        request: Request,
+        future: asyncio.Future[Any],
     ) -> None:
         try:
             if there.name == STATE:
                 if self.slow_store.get(me.name):
                     await asyncio.sleep(self.slow_store[me.name])
-                fate = self._fate(me.name, request)
-                if fate.after_s:
-                    await asyncio.sleep(fate.after_s)
+                outcome = self._outcome(me.name, request)
+                if outcome.after_s:
+                    await asyncio.sleep(outcome.after_s)
                 response = await self.state.serve(me.name, request)
-                if not fate.answered:
+                if not outcome.answered:
                     return
             elif address in self.fleet.workers:
                 response = await self.fleet.serve_machine(address, request)
             else:
                 response = await there.handlers[address](request)
                 if request.path == wire.REPORT_PATH and response.status == 200:
-                    self.made[request.body] = self._made(there, answer_of(response))
+                    self.answer_checks[request.body] = self._made(there, answer_of(response))
             answer: Any = (response.status, answer_of(response))
         except asyncio.CancelledError:
-            self._lost(me, there, future)
+            self._reset_connection(me, there, future)
             raise
         except Exception as error:
             answer = (500, str(error).encode())
         self._travel(there, me, lambda: self._settle_future(me, future, answer))
 
-    def _made(self, there: Place, body: bytes) -> Made:
-        """Whether who answers a worker knows as cancelled what it is about to run."""
+    def _made(self, there: SimulatedHost, body: bytes) -> AnswerCheck:
+        """Notes which jobs of the answer's run orders the answering node knows as cancelled."""
         assert there.node is not None
-        known = there.node.owner.cancellations  # confirmed here, or told by a peer
+        known = there.node.owner.cancellations  # confirmed here, or reported by a peer
         with contextlib.suppress(wire.Malformed):
             _, _, orders = remote.read_orders(body)
-            return Made(self.now, [o.job for o in orders if o.verb == "run" and o.job in known])
-        return Made(self.now)
+            return AnswerCheck(
+                self.now, [o.job for o in orders if o.verb == "run" and o.job in known]
+            )
+        return AnswerCheck(self.now)
 
-    def _fate(self, name: str, request: Request) -> Fate:
-        """When this request is carried out, and whether it is answered: most are, at once."""
+    def _outcome(self, name: str, request: Request) -> CommitOutcome:
+        """The outcome of this request; most are applied and answered at once."""
         if request.path != wire.COMMIT_PATH:
-            return Fate()
-        chosen = self.fate(name, request)
+            return CommitOutcome()
+        chosen = self.outcome_of(name, request)
         if chosen is not None:
             return chosen
-        if self.now < self.late_writes_until and self.random.random() < LATE_PART:
-            return Fate(self.random.uniform(*LATE_S), answered=False)
-        if self.now < self.lost_answers_until and self.random.random() < LATE_PART:
+        if self.now < self.late_writes_until and self.random.random() < LATE_SHARE:
+            return CommitOutcome(self.random.uniform(*LATE_S), answered=False)
+        if self.now < self.lost_answers_until and self.random.random() < LATE_SHARE:
             return LOST_ANSWER
-        return Fate()
+        return CommitOutcome()
 
     def slow(self, by_s: float, for_s: float) -> None:
-        """The state service answers every controller late."""
+        """Delays the state service's answers to every controller."""
         self.slow_store.update(dict.fromkeys(self.controllers, by_s))
         self.at(self.now + for_s, self.slow_store.clear)
 
     def hand_over(self, name: str) -> None:
-        """The node hands the lead over, if it has it, as it does when it doubts itself."""
-        place = self.places[name]
-        if place.alive and place.node is not None and place.node.owner.leading:
-            place.loop.create_task(_quiet(place.node.membership._hand_over("a trouble")))
+        """Hands over the leadership if the node leads, as a slow leader does by itself."""
+        host = self.hosts[name]
+        if host.alive and host.node is not None and host.node.owner.leading:
+            host.loop.create_task(
+                _ignore_failures(host.node.membership._hand_over("injected fault"))
+            )
 
-    def _lost(self, me: Place, there: Place, future: asyncio.Future[Any]) -> None:
-        """The other process ended: its host resets the connection."""
+    def _reset_connection(
+        self, me: SimulatedHost, there: SimulatedHost, future: asyncio.Future[Any]
+    ) -> None:
+        """Resets the connection, since the process at the other end has ended."""
         error = aiohttp.ServerDisconnectedError()
         self._travel(there, me, lambda: self._settle_future(me, future, error))
 
-    def _settle_future(self, me: Place, future: asyncio.Future[Any], answer: Any) -> None:
+    def _settle_future(self, me: SimulatedHost, future: asyncio.Future[Any], answer: Any) -> None:
         def settle() -> None:
             if future.done():
                 return
@@ -643,43 +669,43 @@
 
     def boot(self, name: str) -> None:
         drift, off = self.drifts.get(name, (0.0, 0.0))
-        place = Place(name, self.controllers[name], Loop(self, drift))
-        session = Session(self, place)
-        asyncio.set_event_loop(place.loop)
+        host = SimulatedHost(name, self.controllers[name], Loop(self, drift))
+        session = Session(self, host)
+        asyncio.set_event_loop(host.loop)
         node = Node(
-            self.settings_of(name), self.tuning, session=session, clock=place.loop.time,
+            self.settings_of(name), self.tuning, session=session, clock=host.loop.time,
             wall=lambda: self.now + off,
         )  # fmt: skip
-        place.node = node
-        node.owner.context.batch_duration_s = lambda reports, _: self._spend(place, reports)
-        place.handlers = {f"{name}:80": node.user_api.handle, f"{name}:81": node.peers.handle}
-        self.places[name] = place
-        self.booted.append(place)
-        place.loop.create_task(node.work())
-
-    def _spend(self, place: Place, reports: int) -> float:
-        """Reports take the leader's processor time; nothing else happens there meanwhile."""
-        if place.node is None or not place.node.owner.leading:
+        host.node = node
+        node.owner.context.batch_duration_s = lambda reports, _: self._charge_reports(host, reports)
+        host.handlers = {f"{name}:80": node.user_api.handle, f"{name}:81": node.peers.handle}
+        self.hosts[name] = host
+        self.processes.append(host)
+        host.loop.create_task(node.work())
+
+    def _charge_reports(self, host: SimulatedHost, reports: int) -> float:
+        """Charges the leader processor time for reports; the node is blocked meanwhile."""
+        if host.node is None or not host.node.owner.leading:
             return 0.0
-        cost = reports * self.report_s
-        place.frozen_until = max(place.frozen_until, self.now) + cost
+        cost = reports * self.report_cost_s
+        host.frozen_until = max(host.frozen_until, self.now) + cost
         return cost
 
     def node(self, name: str) -> Node:
-        node = self.places[name].node
+        node = self.hosts[name].node
         assert node is not None
         return node
 
     def epoch(self) -> int:
-        """Of the view in the state service; 0: none yet."""
+        """Epoch of the view in the state service; 0: no view yet."""
         row = self.state.store.get(VIEW)
         return row.value["epoch"] if row is not None else 0
 
     def leader(self) -> str:
-        """The living node that leads in the highest epoch; "" if none does."""
+        """The live node that leads in the highest epoch; "" if none leads."""
         found = [
             (p.node.owner.leading, name)
-            for name, p in self.places.items()
+            for name, p in self.hosts.items()
             if p.node is not None and p.alive and p.node.owner.leading
         ]
         return max(found, default=(0, ""))[1]
@@ -687,19 +713,19 @@
     # --- faults ------------------------------------------------------------------------
 
     def crash(self, name: str, back_s: float) -> None:
-        """The process ends at once; its host resets connections; it starts again later."""
-        self._end(self.places[name])
+        """Kills the process; its host resets connections, and restarts it after `back_s`."""
+        self._end(self.hosts[name])
         self.at(self.now + back_s, lambda: self.boot(name))
 
     def freeze(self, name: str, for_s: float) -> None:
-        """It stands still while its clocks run on."""
-        self.places[name].frozen_until = self.now + for_s
+        """Pauses the process while its clocks keep running."""
+        self.hosts[name].frozen_until = self.now + for_s
 
     def cut(
-        self, for_s: float, between: Callable[[Place, Place], bool], mode: str = "hold",
-        one_way: bool = False,
+        self, for_s: float, between: Callable[[SimulatedHost, SimulatedHost], bool],
+        mode: str = "hold", one_way: bool = False,
     ) -> None:  # fmt: skip
-        def both(a: Place, b: Place) -> bool:
+        def both(a: SimulatedHost, b: SimulatedHost) -> bool:
             return between(a, b) or (not one_way and between(b, a))
 
         self.cuts.append(Cut(self.now + for_s, both, mode))
@@ -707,10 +733,10 @@
     # --- users -------------------------------------------------------------------------
 
     def submit(self, spec: Spec, node: str) -> None:
-        """One submission, repeated as the protocol's users do, at the node and then at others."""
+        """Submits a job, with the retries of the protocol: at this node, then at the others."""
         self.fleet.truth.upload(spec)
         self.checker.see({"at": self.now, "kind": "submit", "job": spec.id, "spec": spec})
-        self.places[FLEET].loop.create_task(self._submit(spec, node))
+        self.hosts[FLEET].loop.create_task(self._submit(spec, node))
 
     async def _submit(self, spec: Spec, node: str) -> None:
         names = list(self.controllers)
@@ -719,7 +745,7 @@
         while self.now - began < 60.0:
             sent = self.now
             with contextlib.suppress(aiohttp.ClientError, TimeoutError):
-                async with Session(self, self.places[FLEET]).request(
+                async with Session(self, self.hosts[FLEET]).request(
                     "POST", f"http://{node}:80{wire.WORK_PATH}", data=body,
                     timeout=aiohttp.ClientTimeout(total=5.0),
                 ) as response:  # fmt: skip
@@ -731,69 +757,69 @@
                         Answer(sent, self.now, node, spec.id, "submit", response.status, state)
                     )
                     if response.status in (200, 201):
-                        self._answered("submit", spec.id, response.status, state, sent)
+                        self._check_answer("submit", spec.id, response.status, state, sent)
                         self._burst(spec.id)
                         if self.polls:
-                            self.places[FLEET].loop.create_task(self.watch(spec.id))
+                            self.hosts[FLEET].loop.create_task(self.watch(spec.id))
                         return
             node = names[(names.index(node) + 1) % len(names)]
             await asyncio.sleep(1.0)
 
     def cancel(self, job: str, node: str = "") -> None:
-        """Asked at one node after the other, from that one on, until one answers."""
+        """Cancels a job: asks one node after the other, starting with `node`, until one answers."""
         self.checker.see({"at": self.now, "kind": "cancel", "job": job})
-        self.places[FLEET].loop.create_task(self._cancel(job, node))
+        self.hosts[FLEET].loop.create_task(self._cancel(job, node))
 
     async def _cancel(self, job: str, first: str) -> None:
         names = list(self.controllers)
         at = names.index(first) if first else 0
         for node in itertools.cycle(names[at:] + names[:at]):
-            if await self._asked(
+            if await self._request(
                 node, "POST", wire.WORK_PATH + "/" + job + wire.ABORT_PATH, "cancel", job
             ):
                 return
             await asyncio.sleep(1.0)
 
     async def watch(self, job: str) -> None:
-        """Ask of the job every 5 s, at any node, as its user does."""
+        """Polls the job every 5 s, at a random node, until it has ended."""
         while self.checker.jobs[job].told not in ("done", "cancelled"):
             await asyncio.sleep(POLL_S)
             node = self.random.choice(list(self.controllers))
-            await self._asked(node, "GET", wire.WORK_PATH + "/" + job, "poll", job)
+            await self._request(node, "GET", wire.WORK_PATH + "/" + job, "poll", job)
 
-    def ask(self, job: str, node: str, me: Place | None = None) -> None:
-        """One poll for the job at the node, by a user who is at `me`."""
+    def poll(self, job: str, node: str, me: SimulatedHost | None = None) -> None:
+        """Polls the job once at the node, from the host `me`."""
         path = f"{wire.WORK_PATH}/{job}"
-        self.places[FLEET].loop.create_task(
-            self._asked(node, "GET", path, "poll", job, sent=self.now, me=me)
+        self.hosts[FLEET].loop.create_task(
+            self._request(node, "GET", path, "poll", job, sent=self.now, me=me)
         )
 
-    def repeat(self, job: str, node: str, me: Place | None = None) -> None:
-        """The job's submission, once more, at the node."""
+    def resubmit(self, job: str, node: str, me: SimulatedHost | None = None) -> None:
+        """Submits the job again at the node."""
         body = remote.submission_body(self.checker.jobs[job].spec)
-        self.places[FLEET].loop.create_task(
-            self._asked(node, "POST", wire.WORK_PATH, "submit", job, body, self.now, me)
+        self.hosts[FLEET].loop.create_task(
+            self._request(node, "POST", wire.WORK_PATH, "submit", job, body, self.now, me)
         )
 
-    def cancel_once(self, job: str, node: str, me: Place | None = None) -> None:
-        """One request to cancel the job, which nobody repeats."""
+    def cancel_once(self, job: str, node: str, me: SimulatedHost | None = None) -> None:
+        """Sends one request to cancel the job, without retries."""
         self.checker.see({"at": self.now, "kind": "cancel", "job": job})
         path = f"{wire.WORK_PATH}/{job}{wire.ABORT_PATH}"
-        self.places[FLEET].loop.create_task(
-            self._asked(node, "POST", path, "cancel", job, sent=self.now, me=me)
+        self.hosts[FLEET].loop.create_task(
+            self._request(node, "POST", path, "cancel", job, sent=self.now, me=me)
         )
 
-    def ask_everywhere(self, job: str) -> None:
-        """Within milliseconds each node is asked about the job, and sent it again."""
+    def poll_all_nodes(self, job: str) -> None:
+        """Polls the job and submits it again at each node, within milliseconds."""
         for node in self.controllers:
-            for request in (self.ask, self.repeat):
+            for request in (self.poll, self.resubmit):
                 at = self.now + self.random.uniform(0.0, SPREAD_S)
                 self.at(at, lambda request=request, node=node: request(job, node))
 
-    def close_looks(self, for_s: float, cancels: float = 0.0) -> None:
-        """Users ask at all nodes right after a job is accepted, ended or cancelled.
+    def poll_in_bursts(self, for_s: float, cancels: float = 0.0) -> None:
+        """Has users poll all nodes right after a job is accepted, finished or cancelled.
 
-        That part of the accepted ones is cancelled at once.
+        `cancels` is the share of the accepted jobs that is cancelled at once.
         """
         self.bursts_until, self.burst_cancels = self.now + for_s, cancels
 
@@ -801,35 +827,35 @@
         if self.now >= self.bursts_until:
             return
         for after_s in BURST_S:
-            self.at(self.now + after_s, lambda: self.ask_everywhere(job))
+            self.at(self.now + after_s, lambda: self.poll_all_nodes(job))
         known = self.checker.jobs[job]
         if not known.told and not known.asked_cancel and self.random.random() < self.burst_cancels:
             self.cancel(job, self.random.choice(list(self.controllers)))
 
     def cancel_at_end(self, share: float, for_s: float) -> None:
-        """That part of the jobs that end is cancelled at the moment of the end."""
+        """Cancels this share of the ending jobs at the moment they end."""
         self.end_cancels = (share, self.now + for_s)
 
-    def _ended(self, job: str) -> None:
-        """The job's last task has completed; no controller knows of it yet."""
+    def _on_job_end(self, job: str) -> None:
+        """Called when the job's last task has completed, before any controller knows."""
         share, until = self.end_cancels
         if self.now < until and self.random.random() < share:
             self.cancel(job, self.random.choice(list(self.controllers)))
         if self.now < self.bursts_until:
             for after_s in BURST_S:
-                self.at(self.now + after_s, lambda: self.ask_everywhere(job))
+                self.at(self.now + after_s, lambda: self.poll_all_nodes(job))
 
     def odd_requests(self, for_s: float) -> None:
-        """Each second users send what makes no sense, or has no effect."""
-        self._odd_ones()
+        """Has users send invalid or ineffective requests each second."""
+        self._send_odd_requests()
         if for_s >= 1.0:
             self.at(self.now + 1.0, lambda: self.odd_requests(for_s - 1.0))
 
-    def _odd_ones(self) -> None:
+    def _send_odd_requests(self) -> None:
         names = list(self.controllers)
         for job, known in list(self.checker.jobs.items()):
             if known.accepted and not known.told:
-                self.repeat(job, self.random.choice(names))
+                self.resubmit(job, self.random.choice(names))
             elif known.told == "done" and self.random.random() < 0.3:
                 self.cancel(job, self.random.choice(names))
         known_specs = [known.spec for known in self.checker.jobs.values() if known.spec is not None]
@@ -845,72 +871,74 @@
             ("lacks a field", wire.pack(lacking)),
             ("fits nothing", remote.submission_body(huge)),
         ):
-            self._odd("POST", wire.WORK_PATH, what, wire.read_submission_id(body) or "", body)
+            self._send_odd("POST", wire.WORK_PATH, what, wire.read_submission_id(body) or "", body)
         unknown = self._fresh_id()
-        self._odd("GET", f"{wire.WORK_PATH}/{unknown}", "unknown", unknown)
-        self._odd("POST", f"{wire.WORK_PATH}/{unknown}{wire.ABORT_PATH}", "unknown", unknown)
+        self._send_odd("GET", f"{wire.WORK_PATH}/{unknown}", "unknown", unknown)
+        self._send_odd("POST", f"{wire.WORK_PATH}/{unknown}{wire.ABORT_PATH}", "unknown", unknown)
 
     def _fresh_id(self) -> str:
-        """Of a job that nobody submits."""
+        """An id of a job that is never submitted."""
         return f"j-9{self.random.randrange(10**9):09d}"
 
-    def _odd(self, method: str, path: str, what: str, job: str, body: bytes | None = None) -> None:
+    def _send_odd(
+        self, method: str, path: str, what: str, job: str, body: bytes | None = None
+    ) -> None:
         node = self.random.choice(list(self.controllers))
 
         async def ask() -> None:
-            await self._asked(node, method, path, "odd", job, body, self.now)
+            await self._request(node, method, path, "odd", job, body, self.now)
             self.odd_answers.append((what, self.replies_of(job)[-1].code))
 
-        self.places[FLEET].loop.create_task(ask())
+        self.hosts[FLEET].loop.create_task(ask())
 
     def replies_of(self, job: str) -> list[Answer]:
         return [answer for answer in self.replies if answer.job == job]
 
-    def rush(self, for_s: float) -> None:
-        """All users ask of all their jobs each second, and submit them again, at any node."""
+    def retry_all(self, for_s: float) -> None:
+        """Has users poll and resubmit all their jobs each second, at random nodes."""
         names = list(self.controllers)
         for job, known in list(self.checker.jobs.items()):
             if known.spec is None:
-                continue  # nobody submitted it
+                continue  # never submitted
             body = remote.submission_body(known.spec)
             for path, to, data in (
                 (f"{wire.WORK_PATH}/{job}", "poll", None), (wire.WORK_PATH, "submit", body),
             ):  # fmt: skip
-                self.places[FLEET].loop.create_task(
-                    self._asked(
+                self.hosts[FLEET].loop.create_task(
+                    self._request(
                         self.random.choice(names), "GET" if data is None else "POST", path, to,
                         job, data, self.now,
                     )
                 )  # fmt: skip
         if for_s >= 1.0:
-            self.at(self.now + 1.0, lambda: self.rush(for_s - 1.0))
+            self.at(self.now + 1.0, lambda: self.retry_all(for_s - 1.0))
 
-    async def _asked(
+    async def _request(
         self, node: str, method: str, path: str, to: str, job: str, data: bytes | None = None,
-        sent: float | None = None, me: Place | None = None,
+        sent: float | None = None, me: SimulatedHost | None = None,
     ) -> bool:  # fmt: skip
-        """One request of a user, who is at `me` (or nowhere in particular); whether it is settled.
+        """Sends one request of a user at host `me` (None: the fleet's); whether it is settled.
 
-        It is judged by what was told before `sent`; None: before now.
+        The checker judges the answer by the answers given before `sent` (None: before now).
         """
         code, body, began = 0, b"", self.now
         sent = began if sent is None else sent
         with contextlib.suppress(aiohttp.ClientError, TimeoutError):
-            async with Session(self, me or self.places[FLEET]).request(
+            async with Session(self, me or self.hosts[FLEET]).request(
                 method, f"http://{node}:80{path}", data=data,
                 timeout=aiohttp.ClientTimeout(total=2.0 if to == "poll" else 5.0),
             ) as response:  # fmt: skip
                 code, body = response.status, await response.read()
-        told = wire.unpack(body) if code in (200, 201) else {}
-        state = told.get("status")
-        self.replies.append(Answer(began, self.now, node, job, to, code, state, told.get("done")))
+        record = wire.unpack(body) if code in (200, 201) else {}
+        state = record.get("status")
+        self.replies.append(Answer(began, self.now, node, job, to, code, state, record.get("done")))
         before = self.checker.jobs[job].told if job in self.checker.jobs else ""
-        self._answered(to, job, code, state, sent, told.get("done"))
+        self._check_answer(to, job, code, state, sent, record.get("done"))
         if state in ("done", "cancelled") and not before:
             self._burst(job)
         return code in (200, 404)
 
-    def _answered(
+    def _check_answer(
         self, to: str, job: str, code: int, state: str | None, sent: float, done: int | None = None
     ) -> None:
         self.checker.see({
@@ -918,13 +946,13 @@
             "state": state, "done": done,
         })  # fmt: skip
 
-    def noted(self, kind: str, at: float, worker: Worker, attempt: Attempt) -> None:
+    def on_attempt_event(self, kind: str, at: float, worker: Worker, attempt: Attempt) -> None:
         row = serve.noted(kind, at, worker, attempt)
-        self.told.append((at, kind, row))
+        self.attempt_events.append((at, kind, row))
         if kind == "running":
             return
         self.checker.see(row)
         known = self.checker.jobs[row["job"]]
         last = known.spec is not None and len(known.done) == known.spec.tasks
         if kind == "off" and row["why"] == "done" and last:
-            self._ended(row["job"])
+            self._on_job_end(row["job"])
--- a/coveflow/lab/worlds.py
+++ b/coveflow/lab/worlds.py
@@ -1,7 +1,7 @@
-"""Generated worlds of whole nodes in virtual time, by kind: what is drawn, what is read of each.
+"""Runs generated test cases on whole nodes in virtual time and summarizes their results.
 
-A kind draws cases from a seed; `play` plays one on `lab.virtual` and tells which rule broke, for
-how long nothing started, and whether all accepted work came to its end.
+A kind draws a case from a seed; `play` runs it on `lab.virtual` and returns which rule was broken,
+for how long no task started, and whether all accepted work finished.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 from coveflow.core.model import Spec
 from coveflow.core.zones import ZoneTracker
-from coveflow.lab import rooms, troubles
+from coveflow.lab import fault_actions, free_capacity
 from coveflow.lab import site as sites
 from coveflow.lab.cases import Case, ends, meetings, nights, rushes, zones
 from coveflow.lab.combined import combined
@@ -28,11 +28,13 @@
 from coveflow.lab.virtual import World
 from coveflow.settings import Tuning
 
-WINDOW_S = 10.0  # s after the first trouble in which starts are looked at
-MOST_S = 250.0  # s after the last job by which everything accepted must have come to its end
-PLACES = 8  # CPUs of a machine, and tasks that it takes at once
-LOAD = 3.0  # times the places that the tasks of a job a second fill if they run as long as said
-WHOLE = 0.9  # part of the tasks that ran before a trouble at which a fleet counts as whole again
+WINDOW_S = 10.0  # s after the first fault in which starts of tasks are observed
+FINISH_S = 250.0  # s after the last job by which all accepted jobs must have finished
+TASKS_PER_MACHINE = 8  # CPUs of a machine, and tasks that it runs concurrently
+# Ratio of demand to capacity, at one job a second and tasks of the stated duration.
+LOAD_FACTOR = 3.0
+# Share of the tasks running before the faults at which a fleet counts as recovered.
+RECOVERED_SHARE = 0.9
 
 SITE = """(lab (seed 1) (zones {zones}) (controllers {nodes})
  (workers (report-s 2.5) (lease-s 15) (gang-wait-s 15) (gang-peer-s 3) (cancel-s 45))
@@ -48,7 +50,7 @@
     zones: Sequence[str], nodes: int, machines: int, run_s: float = 0.0, spot: int = 0,
     limit: float = 0.0,
 ) -> str:  # fmt: skip
-    """A lab's text with this many machines up in each zone; tasks of `run_s`, or of about 5 s.
+    """The lab's site text with this many machines up in each zone; tasks of `run_s`, or about 5 s.
 
     Each team may use `limit` CPUs; 0: no limit.
     """
@@ -59,33 +61,34 @@
 
 
 @dataclass
-class Told:
-    """What became of a case; times in s of the world's clock."""
+class CaseResult:
+    """The result of a case; times in s of the world's clock."""
 
     case: str
     seed: int
-    broken: str = ""  # the rule, or "" if all held
-    gap: float = 0.0  # longest time without a start in the window
-    unfinished: int = 0  # accepted jobs without an end
-    lost: int = 0  # attempts that ended otherwise than done
-    returned: int = 0  # machines given back as silent
-    whole_s: float = 0.0  # s from the first trouble until as much runs again as before
-    moved: list[float] = field(default_factory=list)  # s until deaf machines' tasks ran elsewhere
-    silent_s: float = 0.0  # longest without an answer about a job after the last trouble
-    waited_s: float = 0.0  # longest that a job waited beside room after the last trouble
-    late_starts: dict[str, int] = field(default_factory=dict)  # of cancelled jobs, by cause
-    done_fell: int = 0  # polls that counted fewer tasks done than one before
-    deaf: int = 0  # machines given back as deaf
-    plain: bool = False  # played without what the kind is there to show
+    broken: str = ""  # the broken rule; "" if none
+    gap: float = 0.0  # longest time in the window without a start of a task
+    unfinished: int = 0  # accepted jobs that have not finished
+    lost: int = 0  # attempts that ended without completing
+    returned: int = 0  # machines returned to the cloud as silent
+    whole_s: float = 0.0  # s from the first fault until as many tasks run as before
+    # s until tasks of machines that receive nothing ran elsewhere
+    moved: list[float] = field(default_factory=list)
+    silent_s: float = 0.0  # longest time without an answer about a job after the last fault
+    waited_s: float = 0.0  # longest wait of a job despite free capacity after the last fault
+    late_starts: dict[str, int] = field(default_factory=dict)  # starts of cancelled jobs, by cause
+    done_fell: int = 0  # polls that counted fewer completed tasks than an earlier one
+    deaf: int = 0  # machines returned since they receive nothing
+    plain: bool = False  # baseline run, without the feature that the kind exercises
     failures: list[str] = field(default_factory=list)  # errors in the controllers' logs
 
 
-# --- what a kind is compared with -------------------------------------------------------
+# --- baselines ---------------------------------------------------------------------------
 
 
 @contextlib.contextmanager
 def _no_zones() -> Iterator[None]:
-    """The keeper as it was before it knew zones."""
+    """Disables the detection of unreachable zones."""
     real, ZoneTracker.update = ZoneTracker.update, lambda self, now, seen: []  # type: ignore[method-assign]
     try:
         yield
@@ -93,9 +96,9 @@
         ZoneTracker.update = real  # type: ignore[method-assign]
 
 
-Plain = Callable[[], contextlib.AbstractContextManager[None]]
-# Kinds, and what plays them without what they are there to show, to compare with.
-KINDS: dict[str, tuple[Callable[[int], Case], Plain | None]] = {
+Baseline = Callable[[], contextlib.AbstractContextManager[None]]
+# Each kind's generator, and a context that disables the feature it exercises, for a baseline.
+KINDS: dict[str, tuple[Callable[[int], Case], Baseline | None]] = {
     "ends": (ends, None),
     "zones": (zones, _no_zones),
     "nights": (nights, None),
@@ -106,19 +109,19 @@
 }
 
 
-# --- playing -----------------------------------------------------------------------------
+# --- running -----------------------------------------------------------------------------
 
 
-# Some of every sort beside plain arrays: few tasks that end far apart, gangs, saving, slow images.
+# Job shapes besides plain arrays: few long tasks, checkpoints, large images, gangs.
 SHAPES: list[dict[str, Any]] = [
     {}, {"tasks": 2}, {"tasks": 3, "checkpoint_s": 4.0, "save_s": 2.0}, {"image_gb": 16.0},
     {"tasks": 4, "kind": "gang", "checkpoint_s": 5.0, "save_s": 3.0}, {"tasks": 3, "kind": "gang"},
 ]  # fmt: skip
 
 
-# Whose limits are met, and where their jobs may run: a prime number, so that each shape meets each.
+# Teams with limits, and constraints on zones; five, a prime, so that each meets each shape.
 TEAMS = ("blue", "guest")
-BOUND: list[Callable[[list[str]], dict[str, Any]]] = [
+CONSTRAINTS: list[Callable[[list[str]], dict[str, Any]]] = [
     lambda zones: {}, lambda zones: {"zone": zones[0]}, lambda zones: {"one_zone": True},
     lambda zones: {"spread": True}, lambda zones: {"zone": zones[-1], "deadline_s": 60.0},
 ]  # fmt: skip
@@ -128,13 +131,13 @@
     return [f"zone-{i}" for i in range(case.zones)]
 
 
-class _Lines(logging.Handler):
-    """Errors of the controllers, attempts lost, and machines given back as silent."""
+class _LogCollector(logging.Handler):
+    """Collects from the controllers' logs errors, lost attempts, and returned machines."""
 
     def __init__(self) -> None:
         super().__init__(logging.INFO)
         self.errors: list[str] = []
-        self.returned: dict[str, str] = {}  # machines, and the last reason to give them back
+        self.returned: dict[str, str] = {}  # last reason by returned machine
         self.lost = 0
 
     def emit(self, record: logging.LogRecord) -> None:
@@ -147,62 +150,65 @@
         self.lost += what == "attempt ended" and why != "never started"
 
 
-def play(case: Case) -> Told:
-    """Play the case to the end of all its work, or until a rule breaks."""
+def play(case: Case) -> CaseResult:
+    """Runs the case until all its work has finished, or a rule is broken."""
     names = names_of_zones(case)
     nodes = {f"host-{i}": names[i % case.zones] for i in range(case.nodes)}
-    # Without spot machines best-effort work is given ordinary ones a minute later, not at once.
+    # Without spot machines, best-effort work gets ordinary ones only after a minute.
     spot = case.machines if case.shapes else 0
-    limit = float(int(case.limit * PLACES * case.machines * case.zones))
+    limit = float(int(case.limit * TASKS_PER_MACHINE * case.machines * case.zones))
     text = site(names, case.nodes, case.machines, case.run_s if case.polls else 0.0, spot, limit)
-    told = Told(case.name, case.seed)
-    logger, lines = logging.getLogger("coveflow"), _Lines()
+    result = CaseResult(case.name, case.seed)
+    logger, lines = logging.getLogger("coveflow"), _LogCollector()
     level, logger.propagate = logger.level, False
     logger.addHandler(lines)
     logger.setLevel(logging.INFO)
     try:
         with World(sites.parse(text, case.kind), nodes, case.seed, Tuning(homes=True)) as world:
             world.polls = case.polls
-            _work(world, case)
-            calm_at = case.begin_s + max((t.at + t.for_s for t in case.troubles), default=0.0)
-            rooms.watch(world, calm_at)
+            _submit_jobs(world, case)
+            calm_at = case.begin_s + max((t.at + t.for_s for t in case.faults), default=0.0)
+            free_capacity.watch(world, calm_at)
             if case.polls:
                 world.checker.calm_at = calm_at
-            led: list[str] = []
-            for trouble in case.troubles:
-                world.at(case.begin_s + trouble.at, lambda t=trouble: troubles.cause(world, t, led))
+            first_leader: list[str] = []
+            for fault in case.faults:
+                world.at(
+                    case.begin_s + fault.at,
+                    lambda t=fault: fault_actions.cause(world, t, first_leader),
+                )
             try:
                 world.run(max(case.begin_s + WINDOW_S, case.jobs_until_s + 1.0))
-                while world.now < case.jobs_until_s + MOST_S and unfinished(world):
+                while world.now < case.jobs_until_s + FINISH_S and unfinished(world):
                     world.run(world.now + 1.0)
                 world.checker.finish(world.now)
                 world.run(world.now)
             except AssertionError as error:
-                told.broken = str(error)
-            told.gap = gap(world, case.begin_s, case.begin_s + WINDOW_S)
-            told.whole_s = _whole(world, case)
-            told.unfinished = len(unfinished(world))
+                result.broken = str(error)
+            result.gap = gap(world, case.begin_s, case.begin_s + WINDOW_S)
+            result.whole_s = _recovery_s(world, case)
+            result.unfinished = len(unfinished(world))
     finally:
         logger.removeHandler(lines)
         logger.setLevel(level)
         logger.propagate = True
-    # A deposed leader that was not told means to give back too, and the store keeps it from that.
+    # A deposed leader that does not know it yet also logs returns, but the store prevents them.
     hosts = world.fleet.cloud.hosts
     why = [why for name, why in lines.returned.items() if hosts[name].gone < INF]
-    told.returned = sum(reason.startswith("silent") for reason in why)
-    told.deaf = why.count("does not hear")
-    told.silent_s = world.checker.silent_s
-    told.waited_s = world.checker.waits.longest_s
-    told.late_starts = dict(world.checker.late.counts)
-    told.done_fell = world.checker.done_fell
-    told.failures, told.lost, told.moved = lines.errors, lines.lost, _moved(world)
-    return told
-
-
-def _work(world: World, case: Case) -> None:
-    """More tasks than places after a while, so that every end could start another."""
+    result.returned = sum(reason.startswith("silent") for reason in why)
+    result.deaf = why.count("does not hear")
+    result.silent_s = world.checker.silent_s
+    result.waited_s = world.checker.waits.longest_s
+    result.late_starts = dict(world.checker.late.counts)
+    result.done_fell = world.checker.done_fell
+    result.failures, result.lost, result.moved = lines.errors, lines.lost, _relocation_times(world)
+    return result
+
+
+def _submit_jobs(world: World, case: Case) -> None:
+    """Submits more tasks than machines can run, so that each end lets another task start."""
     names = list(world.controllers)
-    places = LOAD * PLACES * case.machines * case.zones
+    places = LOAD_FACTOR * TASKS_PER_MACHINE * case.machines * case.zones
     for i in range(int(case.jobs_until_s - 3.0)):
         spec = Spec(
             id=f"j-{i:06d}", workload="tally", team="blue", kind="array", priority=1,
@@ -213,17 +219,20 @@
         if case.shapes:
             spec = msgspec.structs.replace(spec, **SHAPES[i % len(SHAPES)])
         if case.limit:
-            bound = BOUND[i % len(BOUND)](names_of_zones(case))
+            bound = CONSTRAINTS[i % len(CONSTRAINTS)](names_of_zones(case))
             spec = msgspec.structs.replace(spec, team=TEAMS[i % len(TEAMS)], **bound)
         node = names[i % len(names)]
         world.at(3.0 + i, lambda spec=spec, node=node: world.submit(spec, node))
 
 
-def _whole(world: World, case: Case) -> float:
-    """s until, after the last moment with less, as much ran as before; to the last job's coming."""
+def _recovery_s(world: World, case: Case) -> float:
+    """s after the first fault until the number of running tasks has recovered for good.
+
+    Looks at the time up to the last submission.
+    """
     level, running, low = 0.0, 0, 0.0
     on: set[tuple[str, int, str]] = set()
-    for at, kind, row in world.told:
+    for at, kind, row in world.attempt_events:
         key = (row["job"], row["task"], row["machine"])
         if kind == "running":
             on.add(key)
@@ -232,18 +241,18 @@
         running = len(on)
         if at < case.begin_s:
             level = running
-        elif at < case.jobs_until_s and running < WHOLE * level:
+        elif at < case.jobs_until_s and running < RECOVERED_SHARE * level:
             low = at - case.begin_s
     return low
 
 
-def _moved(world: World) -> list[float]:
-    """s from when a machine was deaf until tasks that were on it then ran elsewhere."""
+def _relocation_times(world: World) -> list[float]:
+    """s from when a machine stopped receiving until its tasks of then ran elsewhere."""
     found: list[float] = []
     since = {name: at for name, (at, _) in world.fleet.deaf.items()}
     there: dict[tuple[str, int], str] = {}
     left: dict[tuple[str, int], float] = {}
-    for at, kind, row in world.told:
+    for at, kind, row in world.attempt_events:
         key, name = (row["job"], row["task"]), row["machine"]
         if kind == "on" and name in since and at <= since[name]:
             there[key] = name
@@ -257,19 +266,19 @@
 
 
 def gap(world: World, start: float, end: float) -> float:
-    """Longest time in which no task began to run anywhere."""
-    times = [at for at, kind, _ in world.told if kind == "running" and start <= at < end]
+    """Longest time in which no task started."""
+    times = [at for at, kind, _ in world.attempt_events if kind == "running" and start <= at < end]
     return max(b - a for a, b in itertools.pairwise([start, *times, end]))
 
 
 def unfinished(world: World) -> set[str]:
-    """Accepted jobs without an end."""
+    """Accepted jobs that have not finished."""
     rows, _ = world.state.store.list("old/", "", 10**6)
     accepted = {job for job, (status, _) in world.answers.items() if status in (200, 201)}
     return accepted - {key[4:] for key, _ in rows}
 
 
-def _played(kind: str, seed: int) -> list[Told]:
+def _play_with_baseline(kind: str, seed: int) -> list[CaseResult]:
     draw, plain = KINDS[kind]
     found = [play(draw(seed))]
     if plain is not None:
@@ -280,27 +289,27 @@
 
 
 def campaign(
-    kind: str, seeds: range, at_once: int, done: Callable[[Told], None] = lambda told: None
-) -> list[Told]:
-    """Play the seeds' cases, some at once, each in a process; `done` hears of each as it ends."""
-    found: list[Told] = []
+    kind: str, seeds: range, at_once: int, done: Callable[[CaseResult], None] = lambda result: None
+) -> list[CaseResult]:
+    """Runs the seeds' cases in `at_once` processes; calls `done` with each result."""
+    found: list[CaseResult] = []
     with ProcessPoolExecutor(at_once) as pool:
-        for told in pool.map(_played, itertools.repeat(kind), seeds):
-            for one in told:
-                found.append(one)
-                done(one)
+        for results in pool.map(_play_with_baseline, itertools.repeat(kind), seeds):
+            for result in results:
+                found.append(result)
+                done(result)
     return found
 
 
-def summary(told: list[Told]) -> list[dict[str, Any]]:
-    """By sort of case: worlds, broken rules, jobs without an end, gaps and more (times in s)."""
+def summary(results: list[CaseResult]) -> list[dict[str, Any]]:
+    """Rows by case name: worlds, broken rules, unfinished jobs, gaps and more (times in s)."""
 
     def part(values: list[float], of: float) -> float:
         return round(sorted(values)[min(len(values) - 1, int(len(values) * of))], 2)
 
     rows = []
-    for name, plain in dict.fromkeys((t.case, t.plain) for t in told):
-        mine = [t for t in told if (t.case, t.plain) == (name, plain)]
+    for name, plain in dict.fromkeys((t.case, t.plain) for t in results):
+        mine = [t for t in results if (t.case, t.plain) == (name, plain)]
         gaps, whole = [t.gap for t in mine], [t.whole_s for t in mine]
         moved = [s for t in mine for s in t.moved] or [0.0]
         rows.append(
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -12,7 +12,7 @@
 from coveflow.daemon.machine_manager import MachineManager
 from coveflow.daemon.owner import Owner
 from coveflow.daemon.task_counts import TaskCounts
-from coveflow.lab import rooms, worlds
+from coveflow.lab import free_capacity, worlds
 from coveflow.lab import site as sites
 from coveflow.lab.check import Checker
 from coveflow.lab.truth import Truth
@@ -230,7 +230,7 @@
 
 
 def played(world: World, jobs: list[Spec], until: float, calm_at: float = 0.0) -> World:
-    rooms.watch(world, calm_at)
+    free_capacity.watch(world, calm_at)
     for i, job in enumerate(jobs):
         world.at(3.0 + i, lambda job=job: world.submit(job, "host-0"))
     world.run(until)
@@ -339,8 +339,8 @@
             world.state.store.commit({}, {sk.JOB + job: (value, None)}, world.now)
             world.checker.see({"at": world.now, "kind": "cancel", "job": job})
             path = f"{wire.WORK_PATH}/{job}"
-            asked = world._asked("host-0", "GET", path, "poll", job)
-            world.places[FLEET].loop.create_task(asked)
+            asked = world._request("host-0", "GET", path, "poll", job)
+            world.hosts[FLEET].loop.create_task(asked)
 
         world.state._watch = late
         for i, job in enumerate(jobs):
--- a/tests/test_concurrent_faults.py
+++ b/tests/test_concurrent_faults.py
@@ -13,7 +13,7 @@
 from coveflow.daemon.user_jobs import UserJobs
 from coveflow.lab import site as sites
 from coveflow.lab import worlds
-from coveflow.lab.cases import Case, Trouble
+from coveflow.lab.cases import Case, InjectedFault
 from coveflow.lab.virtual import CLOUD, FLEET, World
 from coveflow.lab.worlds import site
 from coveflow.membership.peers import Peers
@@ -206,7 +206,7 @@
     def ask() -> None:
         for i, job in enumerate(jobs()):
             node, path = refusal.others[i % len(refusal.others)], f"{wire.WORK_PATH}/{job.id}"
-            world.places[FLEET].loop.create_task(world._asked(node, "GET", path, "poll", job.id))
+            world.hosts[FLEET].loop.create_task(world._request(node, "GET", path, "poll", job.id))
 
     refusal.cancel = write
     world.at(REFUSED_S + CANCELLED_AFTER_S + 0.2, ask)
@@ -367,18 +367,16 @@
         return await original(self, kept, writes, grant)
 
     monkeypatch.setattr(Store, "_send", unguarded)
-    late = [Trouble(-2.0, "late writes", (), 25.0)]
-    ends = [Trouble(at, "end", ("leader",), 0.3) for at in (1.0, 6.0, 11.0)]
+    late = [InjectedFault(-2.0, "late writes", (), 25.0)]
+    ends = [InjectedFault(at, "end", ("leader",), 0.3) for at in (1.0, 6.0, 11.0)]
     results = [
-        worlds.play(
-            Case("meetings", seed, "test", 3, troubles=(*late, *ends), run_s=8.0, polls=True)
-        )
+        worlds.play(Case("meetings", seed, "test", 3, faults=(*late, *ends), run_s=8.0, polls=True))
         for seed in range(4)
     ]
     assert any(t.broken or t.unfinished or t.failures for t in results)
     monkeypatch.setattr(Store, "_send", original)
     for seed in range(4):
-        case = Case("meetings", seed, "test", 3, troubles=(*late, *ends), run_s=8.0, polls=True)
+        case = Case("meetings", seed, "test", 3, faults=(*late, *ends), run_s=8.0, polls=True)
         result = worlds.play(case)
         assert not result.broken and not result.unfinished and not result.failures
 
--- a/tests/test_further.py
+++ b/tests/test_further.py
@@ -1,20 +1,20 @@
-"""The operators' further troubles, each with others at once, every team at its limit."""
+"""Further fault scenarios combined with others, with every team at its limit."""
 
 import pytest
 
 from coveflow.lab import worlds
-from coveflow.lab.further import FURTHER, further
-from coveflow.lab.troubles import ACTIONS
+from coveflow.lab.fault_actions import ACTIONS
+from coveflow.lab.further import FURTHER_SCENARIOS, further
 
-SEEDS = range(16)  # each sort is the first one twice
+SEEDS = range(16)  # each scenario comes first twice
 
 
-def test_each_trouble_is_drawn_on_one_to_five_nodes():
+def test_all_scenarios_are_drawn_on_one_to_five_nodes():
     cases = [further(seed) for seed in range(200)]
     assert cases == [further(seed) for seed in range(200)]
-    assert {case.name for case in cases} == set(FURTHER)
+    assert {case.name for case in cases} == set(FURTHER_SCENARIOS)
     assert {case.nodes for case in cases} == {1, 2, 3, 4, 5}
-    drawn = {trouble.what for case in cases for trouble in case.troubles}
+    drawn = {fault.what for case in cases for fault in case.faults}
     assert drawn <= set(ACTIONS)
     assert drawn >= {
         "mute", "late commands", "kept reports", "close looks", "cancel at end", "odd requests",
@@ -23,6 +23,6 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_no_rule_breaks_and_all_ends_where_further_troubles_meet(seed):
-    told = worlds.play(further(seed))
-    assert not told.broken and not told.unfinished and not told.failures
+def test_no_rule_breaks_and_all_work_finishes_under_further_faults(seed):
+    result = worlds.play(further(seed))
+    assert not result.broken and not result.unfinished and not result.failures
--- a/tests/test_limits_meetings.py
+++ b/tests/test_limits_meetings.py
@@ -25,7 +25,7 @@
 from coveflow.daemon.owner import Owner
 from coveflow.lab import site as sites
 from coveflow.lab import worlds
-from coveflow.lab.cases import Case, Trouble
+from coveflow.lab.cases import Case, InjectedFault
 from coveflow.lab.virtual import CLOUD, FLEET, World
 from coveflow.lab.worlds import site, unfinished
 from coveflow.membership.leadership import Membership
@@ -127,7 +127,7 @@
         jobs = self.world.checker.jobs
         return [
             (row["job"], row["task"])
-            for at, kind, row in self.world.told
+            for at, kind, row in self.world.attempt_events
             if kind == "on" and at > jobs[row["job"]].told_at
         ]
 
@@ -478,7 +478,7 @@
         self.finish(90.0)
         self.world.run(self.world.now + 8.0)
         assert len(self.reported("done")) == 8
-        on = [row for _, kind, row in self.world.told if kind == "on"]
+        on = [row for _, kind, row in self.world.attempt_events if kind == "on"]
         assert len(on) == len({(row["job"], row["task"]) for row in on}) == 20, "begun again"
 
 
@@ -828,7 +828,7 @@
         self.finish(at + 200.0)
         assert len(self.reported("done")) <= 6
         arrays = {n: k.spec for n, k in world.checker.jobs.items() if k.spec.kind == "array"}
-        starts = sum(kind == "on" and row["job"] in arrays for _, kind, row in world.told)
+        starts = sum(kind == "on" and row["job"] in arrays for _, kind, row in world.attempt_events)
         return starts - sum(spec.tasks for spec in arrays.values())
 
 
@@ -911,8 +911,8 @@
         world.at(world.now + 1.0 / PER_S, lambda: self._arrive(i + 1))
 
     def _ask(self, name: str, node: str) -> None:
-        asked = self.world._asked(node, "GET", f"{wire.WORK_PATH}/{name}", "poll", name)
-        self.world.places[FLEET].loop.create_task(asked)
+        asked = self.world._request(node, "GET", f"{wire.WORK_PATH}/{name}", "poll", name)
+        self.world.hosts[FLEET].loop.create_task(asked)
 
     def counts(self) -> Counter[str]:
         found: Counter[str] = Counter()
@@ -973,8 +973,11 @@
 
 def zone_that_receives_nothing() -> Case:
     """A whole zone receives nothing, and the leader fails 7 s later."""
-    troubles = (Trouble(0.0, "deaf", ("zone",), 40.0), Trouble(7.0, "end", ("leader",), 8.0))
-    return Case("nights", 3, "test", 3, troubles=troubles, run_s=15.0, polls=True)
+    troubles = (
+        InjectedFault(0.0, "deaf", ("zone",), 40.0),
+        InjectedFault(7.0, "end", ("leader",), 8.0),
+    )
+    return Case("nights", 3, "test", 3, faults=troubles, run_s=15.0, polls=True)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -15,7 +15,7 @@
 from coveflow import wire
 from coveflow.daemon.planning import Planning
 from coveflow.lab import site as sites
-from coveflow.lab.virtual import LOST_ANSWER, STATE, Fate, Request, World
+from coveflow.lab.virtual import LOST_ANSWER, STATE, CommitOutcome, Request, World
 from coveflow.lab.worlds import site, unfinished
 from coveflow.membership.leadership import Membership
 from coveflow.settings import Tuning
@@ -108,9 +108,9 @@
         self.seen: set[bytes] = set()
         self.until = 0.0
         self.lost = 0
-        world.fate = self.fate
+        world.outcome_of = self.outcome_of
 
-    def fate(self, name: str, request: Request) -> Fate | None:
+    def outcome_of(self, name: str, request: Request) -> CommitOutcome | None:
         if self.world.now < FAULT_S or kind_of(request) != self.kind:
             return None
         if self.copies == "first" and request.body in self.seen:
@@ -148,7 +148,7 @@
     assert world.node(world.leader()).owner.leading - epoch <= epochs
     assert gap(world, FAULT_S, FAULT_S + 10.0) <= max_gap_s
     assert not lines.count("unexpected conflict") and not lines.count("command failed")
-    world.fate = lambda name, request: None
+    world.outcome_of = lambda name, request: None
     finish(world)
     if cause is not cancel_some:
         assert lost(world) == 0
@@ -198,19 +198,19 @@
     held: list[Request] = []
     met: list[float] = []
 
-    def fate(who: str, request: Request) -> Fate | None:
+    def outcome_of(who: str, request: Request) -> CommitOutcome | None:
         if who != name or kind_of(request) != "joining":
             return None
         if world.now < FAULT_S + 0.4:
             held.append(request)
-            return Fate(100.0, answered=False)
+            return CommitOutcome(100.0, answered=False)
         if not met:
             met.append(world.now)
-            world.places[STATE].loop.create_task(world.state.serve(name, held[0]))
-            return Fate(0.02, answered=False)
+            world.hosts[STATE].loop.create_task(world.state.serve(name, held[0]))
+            return CommitOutcome(0.02, answered=False)
         return None
 
-    world.fate = fate
+    world.outcome_of = outcome_of
     world.crash(name, 0.1)
     world.at(FAULT_S + 0.4, lambda: world.crash(name, 0.1))
     world.run(FAULT_S + 6.0)
@@ -225,13 +225,13 @@
     bad = world.leader()
     cut: list[float] = []
 
-    def fate(who: str, request: Request) -> Fate | None:
+    def outcome_of(who: str, request: Request) -> CommitOutcome | None:
         if who == bad and kind_of(request) == "hand-over" and not cut:
             cut.append(world.now)
             world.cut(4.0, lambda a, b: a.name == STATE and b.name == bad, one_way=True)
         return None
 
-    world.fate = fate
+    world.outcome_of = outcome_of
     world.cut(30.0, lambda a, b: controller(a) and controller(b), "refuse")
     for i in range(2):
         world.at(FAULT_S + 1.5 * i, lambda: world.crash(bad, 0.1))
@@ -247,14 +247,14 @@
     old = world.leader()
     tried: list[str] = []
 
-    def fate(who: str, request: Request) -> Fate | None:
+    def outcome_of(who: str, request: Request) -> CommitOutcome | None:
         if kind_of(request) == "take-over" and not tried and who != old:
             tried.append(who)
             world.at(world.now + 0.004, lambda: world.cut(
                 6.0, lambda a, b: a.name == who and b.name == STATE, "refuse"))  # fmt: skip
         return None
 
-    world.fate = fate
+    world.outcome_of = outcome_of
     world.crash(old, 8.0)
     world.run(FAULT_S + 12.0)
     rates = {name: world.node(name).store.requests.rate for name in ZONES}
@@ -368,15 +368,15 @@
         self.world, self.kind, self.until, self.part = world, kind, until, part
         self.random = random.Random(kind)
         self.late = 0
-        world.fate = self.fate
+        world.outcome_of = self.outcome_of
 
-    def fate(self, name: str, request: Request) -> Fate | None:
+    def outcome_of(self, name: str, request: Request) -> CommitOutcome | None:
         if not FAULT_S <= self.world.now < self.until or kind_of(request) != self.kind:
             return None
         if self.random.random() >= self.part:
             return None
         self.late += 1
-        return Fate(self.random.uniform(2.0, 12.0), answered=False)
+        return CommitOutcome(self.random.uniform(2.0, 12.0), answered=False)
 
 
 LATE_KINDS = [
@@ -401,7 +401,7 @@
         world.at(FAULT_S + at, lambda back_s=back_s: crash_leader(world, back_s))
     for i, name in enumerate(ZONES):
         world.at(FAULT_S + 7.0 + 0.2 * i, lambda name=name: world.crash(name, 0.4))
-    world.at(FAULT_S + 6.0, lambda: world.rush(3.0))
+    world.at(FAULT_S + 6.0, lambda: world.retry_all(3.0))
     world.run(FAULT_S + 26.0)
     assert late.late
     finish(world)
@@ -450,13 +450,13 @@
     with fast_booting_world() as world:
         ends = [FAULT_S + after for after in (0.5, 4.5, 8.5)]
 
-        def fate(name: str, request: Request) -> Fate | None:
+        def outcome_of(name: str, request: Request) -> CommitOutcome | None:
             lags = any(0.0 < at - world.now < 0.7 for at in ends)
             if lags and kind_of(request) == "placements":
-                return Fate(late_s, answered=False)
+                return CommitOutcome(late_s, answered=False)
             return None
 
-        world.fate = fate
+        world.outcome_of = outcome_of
         for at in ends:
             world.at(at, lambda: crash_leader(world, 3.0))
         world.run(FAULT_S + 13.0)
@@ -465,7 +465,9 @@
         world.run(150.0, lambda: not unfinished(world))
         assert world.answers and not unfinished(world)
         # Every attempt ran to its end: no machine was returned with work, and nothing was stopped.
-        assert not [row for _, kind, row in world.told if kind == "off" and row["why"] != "done"]
+        assert not [
+            row for _, kind, row in world.attempt_events if kind == "off" and row["why"] != "done"
+        ]
         assert not world.checker.live
 
 
@@ -569,7 +571,7 @@
     world, lines = play(zones=ZONES, machines=3, jobs_until=35.0)
     world.polls = True
     trouble(world)
-    world.at(FAULT_S + 1.0, lambda: world.rush(4.0))
+    world.at(FAULT_S + 1.0, lambda: world.retry_all(4.0))
     for i in range(4):
         world.at(FAULT_S + 0.7 + 0.9 * i, lambda i=i: world.cancel(f"j-{6 + i:06d}"))
     world.run(FAULT_S + 22.0 + 45.0 * (trouble is refused_then_out))
--- a/tests/test_modelcheck.py
+++ b/tests/test_modelcheck.py
@@ -1,4 +1,4 @@
-"""The model check on the real code to a short depth, and that it finds what is planted."""
+"""The model check finds no broken rule in the real code, and finds each planted bug."""
 
 import logging
 
@@ -9,7 +9,7 @@
 
 
 @pytest.fixture(autouse=True)
-def quiet():
+def no_logging():
     logging.disable(logging.CRITICAL)
     yield
     logging.disable(logging.NOTSET)
@@ -33,9 +33,9 @@
     with (PLANTED | PLANTED_CANCELLED)[bug]():
         found = mc.walks(4000, cancelled=cancelled)
     assert found.broken, f"not found in {found.states} paths"
-    # And by the bug's doing: the same path breaks nothing on the real code.
+    # The bug is the cause: the same path breaks no rule on the real code.
     with mc.stepped():
-        bounds = mc.CANCELLED if cancelled else mc.WIDE
+        bounds = mc.CANCELLATION_BOUNDS if cancelled else mc.LONG_PATH_BOUNDS
         model = mc.Model(at_once=1 + (found.states - 1) % 2, bounds=bounds)
         for choice in found.path:
             if choice in model.choices():
--- a/tests/test_nights.py
+++ b/tests/test_nights.py
@@ -1,4 +1,4 @@
-"""Generated bad nights on whole nodes: bounded sets, and planted faults that the checks notice."""
+"""Generated faults of machines and the network on whole nodes, and planted bugs that show."""
 
 import pytest
 
@@ -8,68 +8,68 @@
 from coveflow.daemon.machine_manager import MachineManager
 from coveflow.daemon.user_jobs import UserJobs
 from coveflow.lab import worlds
-from coveflow.lab.cases import Case, Trouble
+from coveflow.lab.cases import Case, InjectedFault
 from coveflow.net.http import Unavailable
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_no_rule_breaks_and_all_is_known_and_done_after_a_bad_night(seed):
-    told = worlds.play(worlds.nights(seed))
-    assert not told.broken and not told.unfinished and not told.failures
+def test_no_rule_breaks_and_all_work_finishes(seed):
+    result = worlds.play(worlds.nights(seed))
+    assert not result.broken and not result.unfinished and not result.failures
 
 
-def night(*troubles: Trouble, **more) -> worlds.Told:
-    return worlds.play(Case("nights", 3, "test", troubles=troubles, polls=True, **more))
+def play_case(*faults: InjectedFault, **more) -> worlds.CaseResult:
+    return worlds.play(Case("nights", 3, "test", faults=faults, polls=True, **more))
 
 
-def test_a_job_that_no_node_answers_about_in_calm_is_noticed(monkeypatch):
-    """However many other answers there are."""
-    honest = UserJobs.find
+def test_checker_detects_a_job_that_no_node_answers_about(monkeypatch):
+    """The checker looks at each job, so answers about other jobs do not hide it."""
+    real = UserJobs.find
 
-    async def look(self, name):
+    async def find_or_fail(self, name):
         if name == "j-000007":
             raise Unavailable("its record can't be read")
-        return await honest(self, name)
+        return await real(self, name)
 
-    monkeypatch.setattr(UserJobs, "find", look)
-    assert "forgotten: no answer about j-000007" in night(run_s=6.0).broken
+    monkeypatch.setattr(UserJobs, "find", find_or_fail)
+    assert "forgotten: no answer about j-000007" in play_case(run_s=6.0).broken
 
 
-def test_a_zone_cut_one_way_stays_and_a_keeper_that_gives_it_back_is_noticed(monkeypatch):
-    cut = Trouble(0.0, "deaf", ("zone",), 30.0)
-    told = night(cut, run_s=15.0)
-    assert (told.broken, told.returned, told.deaf) == ("", 0, 0)
+def test_machines_of_a_zone_that_receives_nothing_are_not_returned(monkeypatch):
+    """Without the check for many such machines the leader would return them as silent."""
+    cut = InjectedFault(0.0, "deaf", ("zone",), 30.0)
+    result = play_case(cut, run_s=15.0)
+    assert (result.broken, result.returned, result.deaf) == ("", 0, 0)
     monkeypatch.setattr(
         "coveflow.membership.report_batches.BatchSender.add_redirected", lambda *_: None
     )
     monkeypatch.setattr(MachineManager, "_many_not_receiving", lambda self: (set(), 100))
-    assert night(cut, run_s=15.0).returned > 2
+    assert play_case(cut, run_s=15.0).returned > 2
 
 
-def test_a_deaf_machine_keeps_no_work_and_one_that_is_not_known_as_such_does(monkeypatch):
-    """Its tasks run elsewhere once its session is over, which nothing hastens, and stay there."""
-    deaf = Trouble(0.0, "deaf", ("one",), 90.0)
-    with_it = night(deaf, run_s=20.0)
-    assert with_it.deaf == 1 and not with_it.returned
+def test_tasks_of_a_machine_that_receives_nothing_run_elsewhere(monkeypatch):
+    """They move once its session has ended, and stay there; undetected, more attempts are lost."""
+    deaf = InjectedFault(0.0, "deaf", ("one",), 90.0)
+    detected = play_case(deaf, run_s=20.0)
+    assert detected.deaf == 1 and not detected.returned
     monkeypatch.setattr(AnswerReceipt, "record_report", lambda *_: False)
-    assert night(deaf, run_s=20.0).lost > with_it.lost
+    assert play_case(deaf, run_s=20.0).lost > detected.lost
 
 
-def test_a_node_without_store_and_peers_lets_its_workers_go_and_one_that_holds_them_is_noticed(
-    monkeypatch,
-):
-    sever = Trouble(0.0, "sever", ("leader",), 24.0)
-    told = night(sever, run_s=3.0)
-    assert (told.broken, told.lost, told.returned) == ("", 0, 0)
+def test_a_node_without_store_and_peers_redirects_its_workers(monkeypatch):
+    """Otherwise the workers stay with it, and the leader learns late of the tasks that ended."""
+    sever = InjectedFault(0.0, "sever", ("leader",), 24.0)
+    result = play_case(sever, run_s=3.0)
+    assert (result.broken, result.lost, result.returned) == ("", 0, 0)
     monkeypatch.setattr(redirects, "untried_zone_node", lambda machine, contact, mates, now: "")
-    # Machines that are asked directly do not go back meanwhile; what they end is told later still.
-    assert night(sever, run_s=3.0).whole_s > told.whole_s + 5.0
+    # Machines that the leader reaches directly are not returned, but their ends are known later.
+    assert play_case(sever, run_s=3.0).whole_s > result.whole_s + 5.0
     monkeypatch.setattr(DirectRequests, "tick", lambda self, now: None)
-    assert night(sever, run_s=3.0).lost > 0
+    assert play_case(sever, run_s=3.0).lost > 0
 
 
-def test_two_nodes_of_a_zone_without_store_and_peers_do_not_send_workers_to_each_other():
-    """They kept all workers between them, and the leader gave ten machines back as silent."""
-    both = Trouble(0.0, "sever", ("host-0", "host-2"), 34.0)
-    told = night(both, run_s=20.0)
-    assert (told.broken, told.lost, told.returned) == ("", 0, 0)
+def test_two_isolated_nodes_of_a_zone_do_not_redirect_workers_to_each_other():
+    """They would keep all workers, and the leader would return ten machines as silent."""
+    both = InjectedFault(0.0, "sever", ("host-0", "host-2"), 34.0)
+    result = play_case(both, run_s=20.0)
+    assert (result.broken, result.lost, result.returned) == ("", 0, 0)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -64,7 +64,7 @@
     flood(world)
     world.at(FAULT_S + 2.0, lambda: world.crash(world.leader(), 0.3))
     world.run(FAULT_S + 62.0)
-    starts = [at for at, kind, _ in world.told if kind == "running"]
+    starts = [at for at, kind, _ in world.attempt_events if kind == "running"]
     during = [at for at in starts if FAULT_S < at < FAULT_S + 20.0]
     assert max(b - a for a, b in itertools.pairwise(during)) < 3.0
     world.run(200.0, lambda: world.now % 5.0 < 0.01 and not unfinished(world))
--- a/tests/test_quick_restarts.py
+++ b/tests/test_quick_restarts.py
@@ -65,7 +65,7 @@
     assert held
     world.crash(name, 0.2)
     world.run(FAULT_S + 1.5)
-    world.places[STATE].loop.create_task(real(*held[0]))
+    world.hosts[STATE].loop.create_task(real(*held[0]))
     finish(world)
     assert lines.count("no longer a member, though its lease lives") == 0
     assert all(name in world.node(other).owner.inbox.members for other in ZONES)
--- a/tests/test_reports_meetings.py
+++ b/tests/test_reports_meetings.py
@@ -71,7 +71,7 @@
 
     def as_leader(self, action: Callable[[Owner], None]) -> None:
         """Run `action` within the event loop of the leading process."""
-        place = self.world.places[self.world.leader()]
+        place = self.world.hosts[self.world.leader()]
         place.loop.call_soon(lambda: action(place.node.owner))
 
     def machines_of(self, job: str) -> list[str]:
@@ -85,7 +85,7 @@
     def lost(self, since: float) -> list[dict]:
         """Attempts that ended other than by completion or cancellation."""
         return [
-            row for at, kind, row in self.world.told
+            row for at, kind, row in self.world.attempt_events
             if kind == "off" and at > since and row["why"] != "done" and row["job"] != CANCELLED
         ]  # fmt: skip
 
@@ -129,7 +129,7 @@
 def run_history(scenario: Scenario) -> None:
     """Half a minute in which attempts end in every possible way; all reports are recorded."""
     world, fleet = scenario.world, scenario.world.fleet
-    fleet.kept_part = 1.0
+    fleet.kept_share = 1.0
     for i in range(12):
         name = f"j-0001{i:02d}"
         scenario.short[name] = 2.0
@@ -173,7 +173,7 @@
         world.crash(world.leader(), 0.4)
     world.when(
         MOMENTS[moment](world, world.epoch()),
-        lambda: world.fleet.deliver_kept(list(world.controllers)),
+        lambda: world.fleet.deliver_kept_reports(list(world.controllers)),
     )
     kept = [(worker.name, wire.read_report(body)) for worker, body in world.fleet.kept]
     states = {task.state for _, report in kept for task in report.tasks}
--- a/tests/test_shedding.py
+++ b/tests/test_shedding.py
@@ -37,7 +37,7 @@
             job = spec(f"j-{i:06d}", tasks=300, cpus=1.0, team="blue", workload="tally")
             self.at(3.0 + i * 0.2, lambda job=job, i=i: self.submit(job, list(ZONES)[i % 5]))
         self.run(BUSY_AT)
-        self.report_s = REPORT_S
+        self.report_cost_s = REPORT_S
 
     def starts(self, for_s: float) -> float:
         """Starts per second over the next `for_s` seconds."""
@@ -74,7 +74,7 @@
         "handing over", BUSY_AT
     ) and not overloaded_world.lines.count("taking over", BUSY_AT)
     assert overloaded_world.leases_lost() == 0
-    overloaded_world.report_s = 0.0
+    overloaded_world.report_cost_s = 0.0
     overloaded_world.run(overloaded_world.now + 2.0)
     assert overloaded_world.starts(5.0) > 2.0 * max(rates)
 
--- a/tests/test_spot_refused.py
+++ b/tests/test_spot_refused.py
@@ -10,7 +10,7 @@
 from coveflow.core.fleet import Fleet, RentalRequest
 from coveflow.core.model import Machine
 from coveflow.core.planner import Shortage
-from coveflow.lab import rooms, worlds
+from coveflow.lab import free_capacity, worlds
 from coveflow.lab import site as sites
 from coveflow.lab.virtual import World
 from coveflow.lab.worlds import site
@@ -121,7 +121,7 @@
     """Seconds from the first arrival until all jobs end, with one machine up; else infinity."""
     text = site(["north"], 1, 1, RUN_S, spot).replace("(ordinary 1)", "(ordinary 10)")
     with World(sites.parse(text, "test"), {"host-0": "north"}, 1, Tuning(homes=True)) as world:
-        rooms.watch(world, 0.0)
+        free_capacity.watch(world, 0.0)
         for i in range(JOBS):
             job = spec(f"j-{i:06d}", workload="tally", tasks=16, expected_s=RUN_S)
             world.at(3.0, lambda job=job: world.submit(job, "host-0"))
@@ -174,7 +174,7 @@
     """Return the jobs running after 90 s, while a team uses a quarter of its guarantee."""
     zones = {"host-0": "north"}
     with World(sites.parse(KEPT_SITE, "test"), zones, 1, Tuning(homes=True)) as world:
-        rooms.watch(world, 0.0)
+        free_capacity.watch(world, 0.0)
         train = spec("j-000900", workload="train", team="guest", tasks=1, accelerators=1.0,
                      cpus=2.0, expected_s=400.0)  # fmt: skip
         world.at(2.0, lambda: world.submit(train, "host-0"))
--- a/tests/test_user_consistency.py
+++ b/tests/test_user_consistency.py
@@ -180,7 +180,7 @@
     """Crash each node that is the first to report a job as accepted, done or cancelled."""
     seen: set[tuple[str, str]] = set()
     world.crashes = 0
-    original = world._answered
+    original = world._check_answer
 
     def answered(to: str, name: str, code: int, state: str | None, *rest) -> None:
         original(to, name, code, state, *rest)
@@ -188,11 +188,11 @@
             return
         seen.add((name, state))
         reporter = world.replies[-1].node
-        if world.places[reporter].alive and world.crashes < 8:
+        if world.hosts[reporter].alive and world.crashes < 8:
             world.crashes += 1
             world.at(world.now, lambda: world.crash(reporter, 0.2))
 
-    world._answered = answered
+    world._check_answer = answered
 
 
 def unsure(of: Callable[[dict[str, bool]], bool], fate: str) -> Callable[[World], None]:
@@ -213,9 +213,9 @@
 
 
 def request_at_all_nodes(world: World, fault: Callable[[World], None], jobs: int = 18) -> None:
-    world.close_looks(60.0)
+    world.poll_in_bursts(60.0)
     # The first jobs are left to finish.
-    world.at(BEGIN_S + 0.8, lambda: world.close_looks(60.0, cancels=0.3))
+    world.at(BEGIN_S + 0.8, lambda: world.poll_in_bursts(60.0, cancels=0.3))
     world.at(BEGIN_S + 2.0, lambda: world.cancel_at_end(0.3, 60.0))
     fault(world)
     shapes = list(SHAPES)
@@ -331,7 +331,7 @@
         at, node = world.now + STEP_S * number, f"host-{number % 3}"
         world.at(at, lambda: world.cancel(name, node))
         for after_s in (-0.005, 0.005, 0.1, 1.0, 1.3, 2.0):
-            world.at(max(at + after_s, world.now), lambda: world.ask_everywhere(name))
+            world.at(max(at + after_s, world.now), lambda: world.poll_all_nodes(name))
 
     world._ended = ended
     for i in range(JOBS):
@@ -409,7 +409,7 @@
     """
     leader = world.leader()
     others = [name for name in world.controllers if name != leader]
-    inside = world.zones[world.controllers[leader]]
+    inside = world.worker_hosts[world.controllers[leader]]
     names = [f"j-{i:06d}" for i in range(8)]
     for i, name in enumerate(names):
         world.submit(job(i, list(SHAPES)[i % 3], expected_s=8.0), leader)
@@ -420,9 +420,9 @@
     for step in range(70):
         for name in names:
             at = BEGIN_S + 1.0 + 0.5 * step
-            world.at(at, lambda name=name: world.ask(name, leader, me=inside))
-            world.at(at + 0.1, lambda name=name: world.repeat(name, leader, me=inside))
-            world.at(at, lambda name=name: world.ask_everywhere(name))
+            world.at(at, lambda name=name: world.poll(name, leader, me=inside))
+            world.at(at + 0.1, lambda name=name: world.resubmit(name, leader, me=inside))
+            world.at(at, lambda name=name: world.poll_all_nodes(name))
     world.at(BEGIN_S + 6.0, lambda: world.cancel_once(names[0], leader, me=inside))
     world.run(BEGIN_S + 42.0)
 
@@ -457,7 +457,7 @@
 def send_invalid_requests(world: World) -> dict[str, int]:
     world.odd_requests(12.0)
     world.cancel_at_end(0.5, 12.0)
-    world.close_looks(12.0)
+    world.poll_in_bursts(12.0)
     for i in range(10):
         at, shape = BEGIN_S + 0.8 * i, list(SHAPES)[i % 3]
         world.at(at, lambda i=i, shape=shape: world.submit(job(i, shape), f"host-{i % 3}"))
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -184,7 +184,7 @@
             await serve(request)
         )  # fmt: skip
 
-    world.places[CLOUD].handlers["cloud:1"] = cloud
+    world.hosts[CLOUD].handlers["cloud:1"] = cloud
     world.cut(22.0, lambda a, b: a.name == f"workers-{remote_zone}")
     world.run(FAULT_S + 21.0)
     asked = released_machines(lines)
--- a/tests/whole.py
+++ b/tests/whole.py
@@ -1,4 +1,4 @@
-"""Whole controllers in virtual time for tests: a world with steady work, and what is read of it."""
+"""Test helpers for whole controllers in virtual time: a world under steady load."""
 
 import logging
 
@@ -10,16 +10,16 @@
 from coveflow.settings import Tuning
 from tests.samples import spec
 
-__all__ = ["gap"]  # read by the tests of worlds played here
+__all__ = ["gap"]  # re-exported for the tests
 
 SIDES = ("north", "south")
 ZONES = {"host-0": "north", "host-1": "north", "host-2": "north", "host-3": "south",
          "host-4": "south"}  # fmt: skip
-FAULT_S = 12.0  # s into the world at which things fail
+FAULT_S = 12.0  # s into the world at which tests inject faults
 
 
 class Lines(logging.Handler):
-    """Events of the controllers' logs, with the world's time."""
+    """Collects the controllers' log events with the world's time."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -34,7 +34,7 @@
 
 @pytest.fixture
 def play():
-    """A world with steady work, played up to the fault; the log's lines beside it."""
+    """Returns a function that runs a world under steady load up to FAULT_S, and its log lines."""
     worlds, lines = [], Lines()
     logger = logging.getLogger("coveflow")
     level = logger.level
@@ -62,11 +62,11 @@
 
 
 def lost(world: World) -> int:
-    """Attempts that ended otherwise than done.
+    """Number of attempts that ended without completing.
 
-    Workers tell of their own ends; of those with a machine or its lease only the leaders tell.
+    Workers report their own ends; ends by a lost machine or lease are only in the leaders' logs.
     """
-    off = sum(kind == "off" and row["why"] != "done" for _, kind, row in world.told)
+    off = sum(kind == "off" and row["why"] != "done" for _, kind, row in world.attempt_events)
     return off + sum(
         what == "attempt ended" and ("lease" in fields["why"] or "machine was" in fields["why"])
         for _, what, fields in world.lines.rows
@@ -74,13 +74,13 @@
 
 
 def finish(world: World) -> None:
-    """Everything that was accepted comes to its end."""
-    looked = [0.0]
+    """Runs the world until all accepted jobs have finished, and asserts that they have."""
+    checked_at = [0.0]
 
     def over() -> bool:
-        if world.now < looked[0] + 1.0 or world.now < 36.0:
+        if world.now < checked_at[0] + 1.0 or world.now < 36.0:
             return False
-        looked[0] = world.now
+        checked_at[0] = world.now
         return bool(world.answers) and not unfinished(world)
 
     world.run(120.0, over)
