--- a/coveflow/cli/daemon.py
+++ b/coveflow/cli/daemon.py
@@ -38,7 +38,7 @@
     if head == "tokens":
         from coveflow.tes import access
 
-        access.parse(text, str(path))
+        access.parse_tokens(text, str(path))
     elif head in ("lab", "faults", "experiment", "change"):
         from coveflow.lab import experiment, faults, site
         from coveflow.whatif import changes
--- a/coveflow/cli/tes.py
+++ b/coveflow/cli/tes.py
@@ -192,11 +192,11 @@
         from coveflow.tes import access
     except ModuleNotFoundError as error:
         raise UserError("tokens need it: python -m pip install 'coveflow[tes]'") from error
-    if not access.NAME.fullmatch(name):
+    if not access.TOKEN_NAME.fullmatch(name):
         raise UserError(f"{name!r} is no name: letters, digits, - and _ up to 64")
     if not team and set(rights) - {"read-all"}:
         raise UserError("these rights need --team")
-    secret, hashed = access.make(name)
+    secret, hashed = access.make_token(name)
     of = f" (team {team})" if team else ""
     entry = f'(token {name}{of} (rights {" ".join(rights)}) (hash "{hashed}"))'
     if as_json:
--- a/coveflow/lab/cluster.py
+++ b/coveflow/lab/cluster.py
@@ -135,10 +135,10 @@
 
         rows = []
         for name in [team.name for team in self.site.teams]:
-            self.tokens[name], hashed = access.make(name)
+            self.tokens[name], hashed = access.make_token(name)
             rights = "(rights submit read cancel)"
             rows.append(f'(token {name} (team {name}) {rights} (hash "{hashed}"))')
-        self.tokens["auditor"], hashed = access.make("auditor")
+        self.tokens["auditor"], hashed = access.make_token("auditor")
         rows.append(f'(token auditor (rights read-all) (hash "{hashed}"))')
         (self.folder / "tokens.scm").write_text("(tokens " + "\n".join(rows) + ")\n")
         listen = " ".join(f'({n} "{LOCAL}:{node["tes"]}")' for n, node in self.nodes.items())
--- a/coveflow/lab/prefilled_store.py
+++ b/coveflow/lab/prefilled_store.py
@@ -25,11 +25,11 @@
     for i in range(DOCUMENTS):
         executor = models.Executor("outline", ["/usr/bin/outline", f"/tiles/{i}"])
         task = models.Task([executor])
-        cut = documents.cut(models.document_of(task), store.value_kb, 1)
+        cut = documents.pack(models.encode_document(task), store.value_kb, 1)
         store.rows[cut.key(0)] = Row(cut.root(), 1)
         document_hashes.append(cut.hash)
     pages = {node: ([], 0, 0) for node in nodes}  # rows, bytes, number
-    page_bytes = int(store.value_kb * 1024 * ledger.PAGE_PART)
+    page_bytes = int(store.value_kb * 1024 * ledger.PAGE_FILL_SHARE)
     for i in range(tasks):
         node = nodes[i % len(nodes)]
         state = rng.choice(STATES)
@@ -50,7 +50,7 @@
         if state == "SYSTEM_ERROR":
             record["failed"] = "lost"
         rows, size, number = pages[node]
-        row = ix.rows_of([entry])
+        row = ix.encode_rows([entry])
         size += records.encoded_size("", row)
         if size > page_bytes:
             _page(store, node, number, rows)
--- a/coveflow/lab/runner.py
+++ b/coveflow/lab/runner.py
@@ -93,7 +93,7 @@
         self.process: asyncio.subprocess.Process | None = None
         self.killed = False
         self.notes: list[str] = []
-        paths = [tm.normal(p) for p in self._paths()]
+        paths = [tm.normalize_path(p) for p in self._paths()]
         # The longest first: one path may be inside another.
         paths = sorted(dict.fromkeys(paths), key=len, reverse=True)
         # A path stands for itself where no longer word goes on around it.
@@ -110,7 +110,7 @@
         return found
 
     def real(self, path: str) -> Path:
-        return self.root / tm.normal(path).lstrip("/")
+        return self.root / tm.normalize_path(path).lstrip("/")
 
     def _word(self, word: str) -> str:
         """A word of a command with the document's paths where they really are."""
@@ -244,12 +244,12 @@
 
     def _output(self, item: tm.Output) -> list[tm.OutputFileLog]:
         target = local(item.url)
-        if tm.WILD.search(item.path):
-            prefix = tm.normal(item.path_prefix or "/")
+        if tm.WILDCARD.search(item.path):
+            prefix = tm.normalize_path(item.path_prefix or "/")
             rows = [
                 (path, target / posixpath.relpath(inside, prefix), inside)
                 for path, inside in self._files(self.real(prefix), prefix)
-                if fnmatch.fnmatchcase(inside, tm.normal(item.path))
+                if fnmatch.fnmatchcase(inside, tm.normalize_path(item.path))
             ]
             if not rows:
                 self.notes.append(f"output {item.path} matched nothing")
@@ -257,7 +257,7 @@
             source = self.real(item.path)
             if not source.is_dir():
                 raise Unfit(f"output {item.path} is no directory")
-            base = tm.normal(item.path)
+            base = tm.normalize_path(item.path)
             rows = [
                 (path, target / posixpath.relpath(inside, base), inside)
                 for path, inside in self._files(source, base)
--- a/coveflow/tes/documents.py
+++ b/coveflow/tes/documents.py
@@ -1,8 +1,8 @@
-"""Documents larger than one value: compressed, cut into parts, named by their content. Pure.
+"""Content-addressed documents, compressed and split into values of the state service. No I/O.
 
-`td/HASH` is the root: how many parts there are, and the first; `td/HASH/N` are the others. Values
-of the state service are text, so the compressed bytes are written in base 85, which needs no
-escapes.
+The root at `td/HASH` holds the number of parts and the first part; `td/HASH/N` hold the others.
+Values of the state service are text, so the compressed bytes are encoded in base 85, which needs
+no JSON escapes.
 """
 
 from __future__ import annotations
@@ -13,23 +13,27 @@
 import zlib
 from typing import Any, NamedTuple
 
-from coveflow.tes.models import Refused
+from coveflow.tes.models import RequestError
 
-DOC = "td/"
+DOCUMENT_PREFIX = "td/"
 HASH = re.compile(r"[0-9a-f]{32}")
-LEVEL = 6  # of compression; 9 gains a percent for twice the time
-FRAME_BYTES = 128  # of a root beside its part
-MOST_BYTES = 64 * 1024 * 1024  # of a document unpacked: what is read back is ours, and damage ends
+LEVEL = 6  # zlib compression level; 9 saves one percent more and takes twice the time
+FRAME_BYTES = 128  # bytes of a root apart from its part
+DOCUMENT_MAX_BYTES = (
+    64 * 1024 * 1024
+)  # bytes of a decompressed document; bounds what corrupt data can use
 
 
-class Damaged(Exception):
-    """A document is not what its name says."""
+class CorruptDocument(Exception):
+    """The stored parts do not decode to the document with that hash."""
 
 
-class Cut(NamedTuple):
+class PackedDocument(NamedTuple):
+    """A compressed document and its parts."""
+
     hash: str
     parts: list[str]
-    size: int  # bytes of the document
+    size: int  # bytes of the document before compression
 
     def root(self) -> dict[str, Any]:
         return {"n": len(self.parts), "size": self.size, "data": self.parts[0]}
@@ -39,39 +43,42 @@
 
 
 def key(name: str, part: int = 0) -> str:
-    return f"{DOC}{name}/{part}" if part else DOC + name
+    return f"{DOCUMENT_PREFIX}{name}/{part}" if part else DOCUMENT_PREFIX + name
 
 
-def name_of(raw: bytes) -> str:
+def content_hash(raw: bytes) -> str:
     return hashlib.blake2b(raw, digest_size=16).hexdigest()
 
 
-def room(value_kb: float) -> int:
-    """Characters of a part, so that a root with it stays within a value."""
+def part_chars(value_kb: float) -> int:
+    """Return the characters of a part, so that the root with its part fits in one value."""
     return int(value_kb * 1024 * 0.95) - FRAME_BYTES
 
 
-def cut(raw: bytes, value_kb: float, parts_most: int) -> Cut:
-    """A document as keys and values; Refused where it needs more parts than one commit guards."""
+def pack(raw: bytes, value_kb: float, parts_max: int) -> PackedDocument:
+    """Compress and split a document. Raises RequestError if it has too many parts.
+
+    A commit guards every part, so their number is limited.
+    """
     text = base64.b85encode(zlib.compress(raw, LEVEL)).decode("ascii")
-    step = room(value_kb)
+    step = part_chars(value_kb)
     parts = [text[at : at + step] for at in range(0, len(text), step)]
-    if len(parts) > parts_most:
-        raise Refused(
-            f"the task takes {len(text)} bytes when packed, at most {step * parts_most} are kept;"
+    if len(parts) > parts_max:
+        raise RequestError(
+            f"the task takes {len(text)} bytes when packed, at most {step * parts_max} are kept;"
             " put large content into a file and name its url",
             413,
         )
-    return Cut(name_of(raw), parts, len(raw))
+    return PackedDocument(content_hash(raw), parts, len(raw))
 
 
-def join(name: str, parts: list[str]) -> bytes:
-    """The document of these parts; Damaged where they are not those of that name."""
+def unpack(name: str, parts: list[str]) -> bytes:
+    """Reassemble a document. Raises CorruptDocument if the content does not match its hash."""
     try:
         unpack = zlib.decompressobj()
-        raw = unpack.decompress(base64.b85decode("".join(parts)), MOST_BYTES)
+        raw = unpack.decompress(base64.b85decode("".join(parts)), DOCUMENT_MAX_BYTES)
     except (ValueError, zlib.error) as error:
-        raise Damaged(f"document {name}: {error}") from error
-    if not unpack.eof or name_of(raw) != name:
-        raise Damaged(f"document {name} is not what was written")
+        raise CorruptDocument(f"document {name}: {error}") from error
+    if not unpack.eof or content_hash(raw) != name:
+        raise CorruptDocument(f"document {name} does not match its hash")
     return raw
--- a/coveflow/tes/http.py
+++ b/coveflow/tes/http.py
@@ -1,4 +1,4 @@
-"""The JSON listener: routes, limits on size, time and connections, TLS, errors as sentences."""
+"""HTTP listener of the task API: routes, request limits, TLS and JSON error responses."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from coveflow.net.http import Unavailable
 from coveflow.settings import SettingsError, Tes, parse_address
 from coveflow.tes import models, openapi
-from coveflow.tes.access import Access, Client, Denied
-from coveflow.tes.documents import Damaged
+from coveflow.tes.access import AccessDenied, Authenticator, Client
+from coveflow.tes.documents import CorruptDocument
 from coveflow.tes.ledger import Busy
-from coveflow.tes.models import Refused, State, View
-from coveflow.tes.service import PAGE_MOST, NotFound, Query, Service
+from coveflow.tes.models import RequestError, State, View
+from coveflow.tes.service import PAGE_MAX, NotFound, Query, Service
 
 if TYPE_CHECKING:
     import ssl
@@ -29,25 +29,33 @@
 log = Log("coveflow.tes")
 
 BASE = "/ga4gh/tes/v1"
-TASK = re.compile(re.escape(BASE) + r"/tasks/([^/:]+)(:cancel)?")
-HEAD_BYTES = 8 * 1024  # of a request's line, and of a header's field
-HEADERS_MOST = 64  # fields of a request's head
-SWEEP_S = 0.5  # s between looks for connections that are too slow
-CERTIFICATE_S = 2.0  # s between looks whether the certificate's files changed
-TEXT_BYTES = 1_000  # of a query's value that an error repeats
-LISTING = ("name_prefix", "state", "tag_key", "tag_value", "page_size", "page_token", "view")
-
-
-class Wrong(Exception):
-    """The request is refused before it means anything: status, sentence, more headers."""
+TASK_ROUTE = re.compile(re.escape(BASE) + r"/tasks/([^/:]+)(:cancel)?")
+HEAD_BYTES = 8 * 1024  # longest request line, and longest header field
+HEADERS_MAX = 64  # header fields of a request
+SWEEP_S = 0.5  # s between checks for slow connections
+CERTIFICATE_S = 2.0  # s between checks for changed certificate files
+TEXT_BYTES = 1_000  # characters of a parameter name that an error message repeats
+LIST_PARAMETERS = (
+    "name_prefix",
+    "state",
+    "tag_key",
+    "tag_value",
+    "page_size",
+    "page_token",
+    "view",
+)
+
+
+class HttpError(Exception):
+    """A request rejected before its content is examined: status, message, extra headers."""
 
     def __init__(self, status: int, text: str, **headers: str) -> None:
         super().__init__(text)
         self.status, self.headers = status, {k.replace("_", "-"): v for k, v in headers.items()}
 
 
-class _Full(asyncio.Protocol):
-    """Told to a connection beyond the limit, at once."""
+class _TooManyConnections(asyncio.Protocol):
+    """Answers a connection beyond the limit with 503 and closes it."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         body = msgspec.json.encode(models.Fault(503, "too many connections; come back"))
@@ -60,25 +68,31 @@
 
 
 class Listener:
-    def __init__(self, tes: Tes, service: Service, access: Access, where: str, home: Path) -> None:
-        self.tes, self.service, self.access, self.where = tes, service, access, where
+    """Serves the task API on one address."""
+
+    def __init__(
+        self, tes: Tes, service: Service, access: Authenticator, listen_address: str, home: Path
+    ) -> None:
+        self.tes, self.service, self.access, self.listen_address = (
+            tes, service, access, listen_address
+        )  # fmt: skip
         self.files = (home / tes.certificate, home / tes.key) if tes.certificate else None
-        self.body_most = int(tes.body_kb * 1024)
+        self.body_max = int(tes.body_kb * 1024)
         self.context: ssl.SSLContext | None = None
-        # Connections: when each last had nothing asked of us; those being answered are not in it.
+        # When each connection became idle; connections with a request in progress are in `busy`.
         self.idle: dict[RequestHandler, float] = {}
         self.busy: set[RequestHandler] = set()
 
     # --- listening -----------------------------------------------------------------------
 
     def load_certificate(self) -> None:
-        """Raises SettingsError naming the files."""
+        """Load or reload the certificate. Raises SettingsError that names the files."""
         if self.files is None:
-            host, _ = parse_address(self.where)
+            host, _ = parse_address(self.listen_address)
             if not self.tes.plain and not (host.startswith("127.") or host == "localhost"):
                 raise SettingsError(
-                    f"tes: {self.where} is not loopback; give (certificate FILE) and (key FILE),"
-                    " or say (plain yes)"
+                    f"tes: {self.listen_address} is not loopback;"
+                    " give (certificate FILE) and (key FILE), or say (plain yes)"
                 )
             return
         try:
@@ -94,7 +108,7 @@
                 context.load_cert_chain(*self.files)
                 self.context = context
             else:
-                # Connections from here on get the new one.
+                # New connections use the new certificate.
                 self.context.load_cert_chain(*self.files)
         except (OSError, ssl.SSLError) as error:
             names = " and ".join(map(str, self.files))
@@ -104,27 +118,31 @@
         self.load_certificate()
         server = web.Server(
             self.handle, access_log=None, max_line_size=HEAD_BYTES, max_field_size=HEAD_BYTES,
-            max_headers=HEADERS_MOST, keepalive_timeout=self.tes.slow_s, auto_decompress=False,
+            max_headers=HEADERS_MAX, keepalive_timeout=self.tes.slow_s, auto_decompress=False,
         )  # fmt: skip
 
         def connected() -> asyncio.Protocol:
-            return _Full() if len(server.connections) >= self.tes.connections else server()
+            return (
+                _TooManyConnections()
+                if len(server.connections) >= self.tes.connections
+                else server()
+            )
 
         loop = asyncio.get_running_loop()
-        host, port = parse_address(self.where)
+        host, port = parse_address(self.listen_address)
         tls: dict[str, Any] = {}
         if self.context is not None:
             tls = {"ssl": self.context, "ssl_handshake_timeout": self.tes.slow_s}
         listening = await loop.create_server(connected, host, port, reuse_address=True, **tls)
-        log.info("serving tasks", at=self.where, tls=self.context is not None)
+        log.info("serving tasks", at=self.listen_address, tls=self.context is not None)
         try:
-            await asyncio.gather(self._sweep(server), self._follow_certificate())
+            await asyncio.gather(self._sweep(server), self._watch_certificate())
         finally:
             listening.close()
             await server.shutdown(1.0)
 
     async def _sweep(self, server: web.Server) -> None:
-        """Close connections that send nothing, or a request's head byte by byte."""
+        """Close connections that stay idle or send a request's head too slowly."""
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(SWEEP_S)
@@ -142,21 +160,21 @@
                     )
                     protocol.transport.close()
 
-    async def _follow_certificate(self) -> None:
-        stamps = self._stamps()
+    async def _watch_certificate(self) -> None:
+        stamps = self._modified_times()
         while self.files is not None:
             await asyncio.sleep(CERTIFICATE_S)
             try:
-                now = self._stamps()
+                now = self._modified_times()
                 if now == stamps:
                     continue
                 stamps = now
                 self.load_certificate()
-                log.info("certificate read again")
+                log.info("certificate reloaded")
             except (OSError, SettingsError) as error:
-                log.error("certificate not read again; the last good one holds", why=error)
+                log.error("certificate not reloaded; the last valid one stays in use", why=error)
 
-    def _stamps(self) -> list[int]:
+    def _modified_times(self) -> list[int]:
         return [path.stat().st_mtime_ns for path in self.files or ()]
 
     # --- requests ------------------------------------------------------------------------
@@ -166,68 +184,70 @@
         self.busy.add(protocol)
         self.idle.pop(protocol, None)
         try:
-            return await self._answer(request)
+            return await self._respond(request)
         finally:
             self.busy.discard(protocol)
             self.idle[protocol] = asyncio.get_running_loop().time()
 
-    async def _answer(self, request: web.BaseRequest) -> web.StreamResponse:
+    async def _respond(self, request: web.BaseRequest) -> web.StreamResponse:
         try:
             return await self._route(request)
-        except Wrong as error:
-            return fault(error.status, str(error), error.headers)
-        except Refused as error:
-            return fault(error.status, str(error))
-        except Denied as error:
+        except HttpError as error:
+            return error_response(error.status, str(error), error.headers)
+        except RequestError as error:
+            return error_response(error.status, str(error))
+        except AccessDenied as error:
             headers = {"WWW-Authenticate": "Bearer"} if error.status == 401 else {}
             if error.retry_s:
                 headers["Retry-After"] = str(math.ceil(error.retry_s))
-            return fault(error.status, str(error), headers)
+            return error_response(error.status, str(error), headers)
         except NotFound:
-            return fault(404, "no such task")
+            return error_response(404, "no such task")
         except Busy as error:
-            return fault(429, str(error), {"Retry-After": str(max(1, math.ceil(error.retry_s)))})
+            return error_response(
+                429, str(error), {"Retry-After": str(max(1, math.ceil(error.retry_s)))}
+            )
         except (Unavailable, TimeoutError) as error:
             why = str(error) or "the state service is slow"
-            return fault(503, f"not now: {why}", {"Retry-After": "1"})
-        except Damaged as error:
+            return error_response(503, f"not now: {why}", {"Retry-After": "1"})
+        except CorruptDocument as error:
             log.error("damaged document", why=error)
-            return fault(503, f"not now: {error}", {"Retry-After": "10"})
+            return error_response(503, f"not now: {error}", {"Retry-After": "10"})
 
     async def _route(self, request: web.BaseRequest) -> web.StreamResponse:
         path, method = request.path, request.method
         if path == BASE + "/service-info":
-            self._only(method, "GET")
-            return reply(self.info())
+            self._require_method(method, "GET")
+            return json_response(self.service_info())
         if path == BASE + "/openapi.json":
-            self._only(method, "GET")
-            return reply(openapi.document(self.tes.name))
-        match = TASK.fullmatch(path)
+            self._require_method(method, "GET")
+            return json_response(openapi.document(self.tes.name))
+        match = TASK_ROUTE.fullmatch(path)
         if path != BASE + "/tasks" and match is None:
-            raise Wrong(404, f"no such path; tasks are under {BASE}/tasks")
+            raise HttpError(404, f"no such path; tasks are under {BASE}/tasks")
         if match is None:
-            self._only(method, "GET", "POST")
+            self._require_method(method, "GET", "POST")
         else:
-            self._only(method, "POST" if match[2] else "GET")
-        client = await self.access.client(request.headers.get("Authorization"))
+            self._require_method(method, "POST" if match[2] else "GET")
+        client = await self.access.authenticate(request.headers.get("Authorization"))
         if match is None:
             return await (self._submit if method == "POST" else self._list)(request, client)
         name = match[1]
         if not wire.JOB_ID.fullmatch(name):
             raise NotFound
         if match[2]:
-            self._known(request, ())
-            await self._body(request)
+            self._check_parameters(request, ())
+            await self._read_body(request)
             await self.service.cancel(client, name)
-            return reply(models.CancelTaskResponse())
-        self._known(request, ("view",))
-        return reply(await self.service.get(client, name, self._view(request)))
+            return json_response(models.CancelTaskResponse())
+        self._check_parameters(request, ("view",))
+        return json_response(await self.service.get(client, name, self._view_parameter(request)))
 
-    def _only(self, method: str, *allowed: str) -> None:
+    def _require_method(self, method: str, *allowed: str) -> None:
         if method not in allowed:
-            raise Wrong(405, f"{method} means nothing here", Allow=", ".join(allowed))
+            raise HttpError(405, f"{method} is not allowed here", Allow=", ".join(allowed))
 
-    def info(self) -> models.ServiceInfo:
+    def service_info(self) -> models.ServiceInfo:
         from coveflow import __version__
         from coveflow.tes.mapping import PARAMETERS
 
@@ -242,85 +262,87 @@
         )
 
     async def _submit(self, request: web.BaseRequest, client: Client) -> web.StreamResponse:
-        self._known(request, ())
-        body = await self._body(request)
+        self._check_parameters(request, ())
+        body = await self._read_body(request)
         key = request.headers.get("Idempotency-Key")
         name = await self.service.submit(client, body, key)
-        return reply(models.CreateTaskResponse(name))
+        return json_response(models.CreateTaskResponse(name))
 
     async def _list(self, request: web.BaseRequest, client: Client) -> web.StreamResponse:
-        self._known(request, LISTING)
+        self._check_parameters(request, LIST_PARAMETERS)
         given = request.query
         keys, values = given.getall("tag_key", []), given.getall("tag_value", [])
         if len(values) > len(keys):
-            raise Refused("tag_value without a tag_key before it")
+            raise RequestError("tag_value without a tag_key before it")
         size = given.get("page_size")
         if size is not None and not (
-            size.isascii() and size.isdigit() and 1 <= int(size[:9]) <= PAGE_MOST
+            size.isascii() and size.isdigit() and 1 <= int(size[:9]) <= PAGE_MAX
         ):
-            raise Refused(f"page_size must be a whole number from 1 to {PAGE_MOST}")
+            raise RequestError(f"page_size must be a whole number from 1 to {PAGE_MAX}")
         query = Query(
-            view=self._view(request),
+            view=self._view_parameter(request),
             name_prefix=given.get("name_prefix", ""),
-            state=self._state(given.get("state")),
+            state=self._state_parameter(given.get("state")),
             tags=tuple(zip(keys, [*values, *[""] * (len(keys) - len(values))], strict=True)),
             page_size=None if size is None else int(size),
             page_token=given.get("page_token", ""),
         )
-        return reply(await self.service.list(client, query))
+        return json_response(await self.service.list(client, query))
 
-    def _known(self, request: web.BaseRequest, known: tuple[str, ...]) -> None:
-        """A parameter that means nothing here is refused, not ignored."""
+    def _check_parameters(self, request: web.BaseRequest, known: tuple[str, ...]) -> None:
+        """Raise RequestError for query parameters that are unknown or given twice."""
         for name in request.query:
             if name not in known:
                 wanted = f"; known are {', '.join(known)}" if known else ""
-                raise Refused(f"query parameter {name[:TEXT_BYTES]!r} is not known{wanted}")
+                raise RequestError(f"query parameter {name[:TEXT_BYTES]!r} is not known{wanted}")
             if name not in ("tag_key", "tag_value") and len(request.query.getall(name)) > 1:
-                raise Refused(f"query parameter {name} is given twice")
+                raise RequestError(f"query parameter {name} is given twice")
 
-    def _view(self, request: web.BaseRequest) -> View:
+    def _view_parameter(self, request: web.BaseRequest) -> View:
         text = request.query.get("view", "MINIMAL")
         try:
             return View(text)
         except ValueError:
-            raise Refused(f"view must be one of {', '.join(View)}") from None
+            raise RequestError(f"view must be one of {', '.join(View)}") from None
 
-    def _state(self, text: str | None) -> State | None:
-        """UNKNOWN is the schema's default and no task's state: any."""
+    def _state_parameter(self, text: str | None) -> State | None:
+        """Return the state to filter by, None for any. UNKNOWN, the schema's default, means any."""
         if text is None or text == State.UNKNOWN:
             return None
         try:
             return State(text)
         except ValueError:
-            raise Refused(f"state must be one of {', '.join(State)}") from None
+            raise RequestError(f"state must be one of {', '.join(State)}") from None
 
-    async def _body(self, request: web.BaseRequest) -> bytes:
+    async def _read_body(self, request: web.BaseRequest) -> bytes:
         if request.headers.get("Content-Encoding", "identity") != "identity":
-            raise Wrong(415, "send the body as it is, without Content-Encoding")
-        if (request.content_length or 0) > self.body_most:
-            raise Wrong(413, f"the body is over {self.body_most} bytes", Connection="close")
+            raise HttpError(415, "send the body as it is, without Content-Encoding")
+        if (request.content_length or 0) > self.body_max:
+            raise HttpError(413, f"the body is over {self.body_max} bytes", Connection="close")
         body = bytearray()
         try:
             async with asyncio.timeout(self.tes.slow_s):
                 async for chunk in request.content.iter_any():
                     body += chunk
-                    if len(body) > self.body_most:
-                        raise Wrong(
-                            413, f"the body is over {self.body_most} bytes", Connection="close"
+                    if len(body) > self.body_max:
+                        raise HttpError(
+                            413, f"the body is over {self.body_max} bytes", Connection="close"
                         )
         except TimeoutError:
-            raise Wrong(
+            raise HttpError(
                 408, f"the body took longer than {self.tes.slow_s:g} s", Connection="close"
             ) from None
         return bytes(body)
 
 
-def reply(value: Any, status: int = 200, headers: dict[str, str] | None = None) -> web.Response:
+def json_response(
+    value: Any, status: int = 200, headers: dict[str, str] | None = None
+) -> web.Response:
     return web.Response(
         status=status, body=msgspec.json.encode(value), content_type="application/json",
         headers=headers,
     )  # fmt: skip
 
 
-def fault(status: int, text: str, headers: dict[str, str] | None = None) -> web.Response:
-    return reply(models.Fault(status, text), status, headers)
+def error_response(status: int, text: str, headers: dict[str, str] | None = None) -> web.Response:
+    return json_response(models.Fault(status, text), status, headers)
--- a/coveflow/tes/index.py
+++ b/coveflow/tes/index.py
@@ -1,9 +1,9 @@
-"""What a node knows of all tasks, for listings: a page costs by its own length. Pure.
+"""In-memory index of all tasks for listings; a page costs in proportion to its length. No I/O.
 
-Each task is one packed row. Rows hang in one sorted array for each (team, final state), and one for
-each team's tasks that are not over, so a listing of one state or team never walks the others. Order
-is by creation time, newest first, and the same on every node; a page's token names the last task
-that was looked at, so pages stay as they are while tasks come and go.
+Each task is one packed row. There is one sorted array of rows for each (team, final state), and one
+for the unfinished tasks of each team, so a listing by state or team never scans the others. Tasks
+are ordered by creation time, newest first, equally on every node. A page token names the last task
+scanned, so pages stay stable while tasks are added and removed.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 
 from coveflow.tes.models import FINAL, State
 
-FINAL_BYTES = 40  # that a task's end adds to its row in a page
-LIVE = ""  # the bucket of tasks that are not over
-LOW_BITS = 22  # of a key: from the id, so that tasks of one millisecond have an order
+FINAL_BYTES = 40  # bytes that a final state adds to a task's row in a page
+LIVE = ""  # bucket of unfinished tasks
+LOW_BITS = 22  # low bits of a key, taken from the id, which order the tasks of one millisecond
 _pack = msgspec.msgpack.Encoder().encode
 _unpack = msgspec.msgpack.Decoder().decode
 
 
 class Entry(NamedTuple):
-    """One task as listings know it. `made_ms`, `ended_ms`: ms of the time of day."""
+    """One task in the index; `made_ms` and `ended_ms` are ms since the Unix epoch."""
 
     id: str
     made_ms: int
@@ -39,7 +39,7 @@
 
     @property
     def key(self) -> int:
-        """Its place in every listing, the same on every node."""
+        """Return the sort key, the same on every node."""
         return self.made_ms << LOW_BITS | number_of(self.id) & (1 << LOW_BITS) - 1
 
 
@@ -49,11 +49,11 @@
 
 class Page(NamedTuple):
     entries: list[Entry]
-    after: int | None  # key to go on from; None: nothing is left
+    after: int | None  # key to continue after; None on the last page
 
 
 class Bucket:
-    """Tasks of one team in one state: keys in order, and the row of each beside it."""
+    """Tasks of one team in one state: sorted keys, and the row number of each."""
 
     __slots__ = ("keys", "rows")
 
@@ -61,34 +61,36 @@
         self.keys: array[int] = array("Q")
         self.rows: array[int] = array("I")
 
-    def put(self, key: int, row: int) -> None:
-        """Most come with the highest key; those of one key go by their rows."""
+    def insert(self, key: int, row: int) -> None:
+        """Insert a row; most have the highest key. Rows of equal keys keep insertion order."""
         at = len(self.keys)
         if at and key <= self.keys[-1]:
             at = bisect_right(self.keys, key)
         self.keys.insert(at, key)
         self.rows.insert(at, row)
 
-    def take(self, key: int, row: int) -> None:
+    def delete(self, key: int, row: int) -> None:
         for at in range(bisect_left(self.keys, key), bisect_right(self.keys, key)):
             if self.rows[at] == row:
                 self.keys.pop(at)
                 self.rows.pop(at)
                 return
 
-    def down(self, after: int | None) -> Iterator[tuple[int, int]]:
-        """Keys and rows from the newest one below `after`."""
+    def descending(self, after: int | None) -> Iterator[tuple[int, int]]:
+        """Iterate over keys and rows in descending order, from below `after`."""
         at = len(self.keys) if after is None else bisect_left(self.keys, after)
         for i in range(at - 1, -1, -1):
             yield self.keys[i], self.rows[i]
 
 
 class Index:
+    """All tasks, by id and by (team, state)."""
+
     def __init__(self) -> None:
         self.rows: list[bytes | None] = []
-        self.ids: dict[int, int] = {}  # number of the id to row
+        self.ids: dict[int, int] = {}  # number in the id -> row
         self.buckets: dict[tuple[str, str], Bucket] = {}
-        self.early: dict[str, tuple[str, int]] = {}  # ends heard of before their tasks
+        self.early_ends: dict[str, tuple[str, int]] = {}  # ends received before their tasks
 
     def __len__(self) -> int:
         return len(self.ids)
@@ -103,63 +105,63 @@
     # --- changes -----------------------------------------------------------------------
 
     def add(self, entry: Entry) -> None:
-        """Take in a task; a known one can only become final, never anything else."""
+        """Add a task; for a known one, only a final state is taken over."""
         if number_of(entry.id) in self.ids:
             if entry.state:
-                self.end(entry.id, entry.state, entry.ended_ms)
+                self.set_final_state(entry.id, entry.state, entry.ended_ms)
             return
-        early = self.early.pop(entry.id, None)
+        early = self.early_ends.pop(entry.id, None)
         if early is not None and not entry.state:
             entry = entry._replace(state=early[0], ended_ms=early[1])
         row = len(self.rows)
         self.rows.append(_pack(entry))
         self.ids[number_of(entry.id)] = row
-        self._into(entry, row)
+        self._insert(entry, row)
 
-    def _into(self, entry: Entry, row: int) -> None:
-        self.buckets.setdefault((entry.team, entry.state), Bucket()).put(entry.key, row)
+    def _insert(self, entry: Entry, row: int) -> None:
+        self.buckets.setdefault((entry.team, entry.state), Bucket()).insert(entry.key, row)
 
-    def _out_of(self, entry: Entry, row: int) -> None:
+    def _delete(self, entry: Entry, row: int) -> None:
         bucket = self.buckets[entry.team, entry.state]
-        bucket.take(entry.key, row)
+        bucket.delete(entry.key, row)
         if not bucket.keys:
             del self.buckets[entry.team, entry.state]
 
-    def end(self, task: str, state: str, ended_ms: int) -> None:
-        """The task is over. The first word counts: a final state never changes."""
+    def set_final_state(self, task: str, state: str, ended_ms: int) -> None:
+        """Record a task's final state. The first one counts, as a final state never changes."""
         row = self.ids.get(number_of(task))
         if row is None:
-            self.early[task] = (state, ended_ms)
+            self.early_ends[task] = (state, ended_ms)
             return
         entry = self._entry(row)
         if entry.state:
             return
-        self._out_of(entry, row)
+        self._delete(entry, row)
         entry = entry._replace(state=state, ended_ms=ended_ms)
         self.rows[row] = _pack(entry)
-        self._into(entry, row)
+        self._insert(entry, row)
 
     def remove(self, task: str) -> Entry | None:
-        """The task's time is over; what was known of it."""
+        """Remove a task and return its entry, None if it is unknown."""
         row = self.ids.pop(number_of(task), None)
-        self.early.pop(task, None)
+        self.early_ends.pop(task, None)
         if row is None:
             return None
         entry = self._entry(row)
-        self._out_of(entry, row)
+        self._delete(entry, row)
         self.rows[row] = None
         if len(self.rows) > 1024 and len(self.ids) * 2 < len(self.rows):
             self._compact()
         return entry
 
     def _compact(self) -> None:
-        """Half of the rows are gone: number the rest anew."""
+        """Renumber the remaining rows, to free the memory of removed ones."""
         kept = [packed for packed in self.rows if packed is not None]
         self.rows, self.ids, self.buckets = kept, {}, {}
         for row in range(len(kept)):
             entry = self._entry(row)
             self.ids[number_of(entry.id)] = row
-            self._into(entry, row)
+            self._insert(entry, row)
 
     # --- listings ----------------------------------------------------------------------
 
@@ -167,45 +169,45 @@
         self,
         team: str | None,
         states: frozenset[str],
-        wanted: Callable[[Entry], bool],
+        matches: Callable[[Entry], bool],
         after: int | None,
-        most: int,
-        look: int,
+        limit: int,
+        max_scanned: int,
     ) -> Page:
-        """The next tasks, newest first: at most `most`, after a look at `look` of them at most.
+        """Return the next tasks, newest first: at most `limit`, from at most `max_scanned` rows.
 
-        `team` None: of all teams. `states` are buckets (final states and LIVE). A page may hold
-        less than there is, even nothing, and then says where to go on. Tasks of one key are never
-        on two pages, so a page may hold a few more.
+        `team` None means all teams. `states` are buckets (final states and LIVE). A page may be
+        short or empty before the end; its `after` then tells where to continue. Tasks with the same
+        key are never split over two pages, so a page may exceed `limit` by a few.
         """
         chosen = [
-            bucket.down(after)
-            for (of, state), bucket in self.buckets.items()
-            if (team is None or of == team) and state in states
+            bucket.descending(after)
+            for (owner, state), bucket in self.buckets.items()
+            if (team is None or owner == team) and state in states
         ]
         entries: list[Entry] = []
         last = None
-        for looked, (key, row) in enumerate(heapq.merge(*chosen, reverse=True)):
-            if key != last and (len(entries) >= most or looked >= look):
+        for scanned, (key, row) in enumerate(heapq.merge(*chosen, reverse=True)):
+            if key != last and (len(entries) >= limit or scanned >= max_scanned):
                 return Page(entries, last)
             last = key
             entry = self._entry(row)
-            if wanted(entry):
+            if matches(entry):
                 entries.append(entry)
         return Page(entries, None)
 
     def documents(self) -> set[str]:
-        """Hashes of the documents that clients sent and some task still has."""
+        """Return the hashes of the documents that tasks refer to (logs are not among them)."""
         return {Entry(*_unpack(packed)).doc for packed in self.rows if packed is not None}
 
 
-ALL = frozenset({LIVE, *(str(s) for s in FINAL)})
+ALL_BUCKETS = frozenset({LIVE, *(str(s) for s in FINAL)})
 
 
 def buckets_of(state: State | None) -> frozenset[str]:
-    """Where tasks of the state hang; empty where no task here ever has it."""
+    """Return the buckets with tasks of a state; empty for a state that no task here has."""
     if state is None:
-        return ALL
+        return ALL_BUCKETS
     if state in FINAL:
         return frozenset({str(state)})
     if state in (State.QUEUED, State.INITIALIZING, State.RUNNING, State.CANCELING):
@@ -213,10 +215,10 @@
     return frozenset()
 
 
-def rows_of(entries: list[Entry]) -> list[list[Any]]:
-    """Entries as a page of the state service keeps them; what is empty at the end is left out."""
+def encode_rows(entries: list[Entry]) -> list[list[Any]]:
+    """Encode entries as rows of an index page; unfinished ones omit state and end time."""
     return [list(e) if e.state else list(e[:6]) for e in entries]
 
 
-def entries_of(rows: list[list[Any]]) -> list[Entry]:
+def decode_rows(rows: list[list[Any]]) -> list[Entry]:
     return [Entry(*row) for row in rows]
--- a/coveflow/tes/intake.py
+++ b/coveflow/tes/intake.py
@@ -1,9 +1,9 @@
-"""Accepting tasks: a job, its document and its place in the listings, in one transaction.
+"""Accepts tasks: commits the job, its document and its index row in one transaction.
 
-Submissions that wait at the same time share a transaction, and with it the write of this node's
-page. What a commit guards: that the job's id is new (accepted and final records), that each
-document is there as it was seen, and that the page is the one that was added to. An unsure commit
-is settled by its own guards, never assumed.
+Concurrent submissions share a transaction, and with it the write of this node's newest index page.
+A commit guards that the job's id is new (accepted and final records), that each document is
+unchanged since it was looked up, and that the page is the one the rows were added to. The outcome
+of an unanswered commit is never assumed: the page is read again before the next commit.
 """
 
 from __future__ import annotations
@@ -26,18 +26,20 @@
 
 log = Log("coveflow.tes")
 
-SUBMIT_S = 2.5  # s a submission may spend on the store before the client is told to come back
-QUEUE = 64  # submissions that wait for their commit; more are told at once
-ROOTS_KEPT = 5_000  # documents whose revision is remembered, so that equal ones cost nothing
-TRIES = 4  # times a submission is prepared anew, as documents came or went meanwhile
+SUBMIT_S = 2.5  # s a submission may spend on the store before the client is asked to retry
+QUEUE_MAX = 64  # submissions that wait for a commit; further ones are refused at once with Busy
+ROOTS_MAX = 5_000  # document roots whose revision is cached, so equal documents cost nothing
+ATTEMPTS_MAX = 4  # attempts per submission, as its document may be written or removed concurrently
 
 
-class Stale(Exception):
-    """A document is not as it was seen."""
+class StaleDocument(Exception):
+    """A document was written or removed since its root was looked up."""
 
 
 @dataclass(eq=False)
 class Submission:
+    """A task that waits for its commit; the future gives the revision, None for a known id."""
+
     entry: ix.Entry
     record: dict[str, Any]
     guards: dict[str, int]
@@ -48,83 +50,90 @@
     )
 
 
-class Intake:
+class TaskIntake:
+    """Batches the submissions of one node into transactions."""
+
     def __init__(
         self,
-        book: ledger.Ledger,
+        task_ledger: ledger.Ledger,
         store: Store,
         txn_ops: int,
         clock: Callable[[], float],
         put: Callable[[cm.InboxRows], None],
     ) -> None:
-        self.book, self.store, self.txn_ops, self.clock, self.put = (
-            book, store, txn_ops, clock, put
+        self.ledger, self.store, self.txn_ops, self.clock, self.put = (
+            task_ledger, store, txn_ops, clock, put
         )  # fmt: skip
         self.roots: OrderedDict[str, int] = OrderedDict()
         self.waiting: list[Submission] = []
         self.batching: asyncio.Task[None] | None = None
-        self.sure = True  # whether this node's newest page is as the last commit left it
-        # A commit guards every part of the documents it writes, beside a few keys of its own.
-        self.parts_most = 4 * txn_ops - 8
-
-    async def accept(self, entry: ix.Entry, record: dict[str, Any], cut: documents.Cut) -> bool:
-        """Commit the task; False if its id is known already. Raises Busy or Unavailable."""
-        if not self.book.ready:
-            raise Unavailable("the index is being read")
-        if len(self.waiting) >= QUEUE:
+        self.page_known = True  # whether this node's newest page is as the last commit left it
+        # A commit guards every part of the documents it writes, and a few keys besides.
+        self.parts_max = 4 * txn_ops - 8
+
+    async def accept(
+        self, entry: ix.Entry, record: dict[str, Any], packed: documents.PackedDocument
+    ) -> bool:
+        """Commit the task; False if its id is already in use. Raises Busy or Unavailable."""
+        if not self.ledger.ready:
+            raise Unavailable("the task index is still loading")
+        if len(self.waiting) >= QUEUE_MAX:
             raise ledger.Busy(1.0)
-        self.book.changes.take(3.0 + len(cut.parts) - 1)
+        self.ledger.changes.take(3.0 + len(packed.parts) - 1)
         deadline = self.clock() + SUBMIT_S
-        for _ in range(TRIES):
-            guards, writes = await self.document(cut, deadline)
+        for _ in range(ATTEMPTS_MAX):
+            guards, writes = await self.document_guards(packed, deadline)
             guards |= {sk.JOB + entry.id: 0, sk.FINAL_RECORD + entry.id: 0}
             writes[sk.JOB + entry.id] = record
             size = sum(records.encoded_size(key, value) for key, value in writes.items())
-            one = Submission(entry, record, guards, writes, size)
-            self.waiting.append(one)
+            submission = Submission(entry, record, guards, writes, size)
+            self.waiting.append(submission)
             if self.batching is None or self.batching.done():
-                self.batching = asyncio.create_task(self._batch())
+                self.batching = asyncio.create_task(self._commit_batches())
             try:
-                rev = await one.future
-            except Stale:
+                rev = await submission.future
+            except StaleDocument:
                 continue
             if rev is None:
                 return False
-            if len(self.roots) > ROOTS_KEPT:
+            if len(self.roots) > ROOTS_MAX:
                 self.roots.popitem(last=False)
             self.put(cm.InboxRows([(sk.JOB + entry.id, record, rev)]))
             return True
-        raise Unavailable("documents came and went while the task was being accepted")
+        raise Unavailable("the task's document kept changing during the submission")
 
     # --- documents -----------------------------------------------------------------------
 
-    async def document(
-        self, cut: documents.Cut, deadline: float
+    async def document_guards(
+        self, packed: documents.PackedDocument, deadline: float
     ) -> tuple[dict[str, int], dict[str, Any]]:
-        """What the transaction that first refers to a document guards and writes for it.
+        """Return the guards and writes for a transaction that refers to the document.
 
-        The parts of a long one are written before, as they do not fit; its root, without which
-        they are nothing, goes with the reference. The collector removes a root first.
+        The parts of a long document do not fit into that transaction and are written before it. The
+        root, which makes the parts reachable, is written with the reference. The collector removes
+        the root first.
         """
-        root = cut.key(0)
-        rev = self.roots.get(cut.hash, 0)
-        if not rev and len(cut.parts) > 1:
+        root = packed.key(0)
+        rev = self.roots.get(packed.hash, 0)
+        if not rev and len(packed.parts) > 1:
             _, rev = await self.store.get(root)
         if rev:
             return {root: rev}, {}
         guards = {root: 0}
-        if len(cut.parts) > 1:
-            guards |= await self._parts(cut, deadline)
-        return guards, {root: cut.root()}
+        if len(packed.parts) > 1:
+            guards |= await self._write_parts(packed, deadline)
+        return guards, {root: packed.root()}
 
-    async def _parts(self, cut: documents.Cut, deadline: float) -> dict[str, int]:
-        """Write all parts but the first; the revision of each."""
+    async def _write_parts(
+        self, packed: documents.PackedDocument, deadline: float
+    ) -> dict[str, int]:
+        """Write all parts but the first and return the revision of each."""
         found: dict[str, int] = {}
-        per_txn = max(1, min(self.txn_ops // 2, c.TXN_BYTES // max(1, len(cut.parts[0]))))
-        for low in range(1, len(cut.parts), per_txn):
+        per_txn = max(1, min(self.txn_ops // 2, c.TXN_BYTES // max(1, len(packed.parts[0]))))
+        for low in range(1, len(packed.parts), per_txn):
             left = {
-                cut.key(i): {"data": cut.parts[i]}
-                for i in range(low, min(low + per_txn, len(cut.parts)))
+                packed.key(i): {"data": packed.parts[i]}
+                for i in range(low, min(low + per_txn, len(packed.parts)))
             }
             while left:
                 try:
@@ -132,7 +141,7 @@
                     found |= dict.fromkeys(left, rev)
                     break
                 except Conflict as conflict:
-                    # An earlier try, or another task, wrote the same content.
+                    # An earlier attempt or another task wrote the same content.
                     for key in conflict.failed or list(left):
                         _, rev = await self.store.get(key)
                         if rev:
@@ -140,8 +149,8 @@
                             left.pop(key, None)
         return found
 
-    async def know_root(self, name: str) -> None:
-        """A root seems to be there already: learn its revision, so that it is only guarded."""
+    async def refresh_root(self, name: str) -> None:
+        """Read the revision of a root that may exist, so that it is guarded instead of written."""
         _, rev = await self.store.get(documents.key(name))
         if rev:
             self.roots[name] = rev
@@ -151,103 +160,116 @@
 
     # --- transactions --------------------------------------------------------------------
 
-    async def _batch(self) -> None:
+    async def _commit_batches(self) -> None:
         while self.waiting:
             batch: list[Submission] = []
             try:
-                if not self.sure:
-                    await self.book.reread()
-                    self.sure = True
-                batch, guards, writes, key, rows = self._fill()
+                if not self.page_known:
+                    await self.ledger.reload_own_pages()
+                    self.page_known = True
+                batch, guards, writes, key, rows = self._fill_batch()
                 rev = await self.store.commit_with_retry(guards, writes, self.clock() + SUBMIT_S)
             except Conflict as conflict:
-                await self._conflict(batch, set(conflict.failed))
+                await self._resolve_conflict(batch, set(conflict.failed))
             except Exception as error:
                 failure = error if isinstance(error, Unavailable) else Unavailable(str(error))
                 if failure is not error:
                     log.exception("tasks could not be written")
-                # Whether it applied is not known: the page is read again before the next one.
-                self.sure = False
-                for one in batch or self._all():
-                    if not one.future.done():
-                        one.future.set_exception(failure)
+                # The commit may have been applied: the page is read again before the next commit.
+                self.page_known = False
+                for submission in batch or self._take_waiting():
+                    if not submission.future.done():
+                        submission.future.set_exception(failure)
             else:
-                self.book.apply([(key, {"rows": rows}, rev)])
-                for one in batch:
-                    for name in one.writes:
-                        if name.startswith(documents.DOC):
-                            self.roots[name[len(documents.DOC) :]] = rev
-                    if not one.future.done():
-                        one.future.set_result(rev)
-
-    def _all(self) -> list[Submission]:
+                self.ledger.apply([(key, {"rows": rows}, rev)])
+                for submission in batch:
+                    for name in submission.writes:
+                        if name.startswith(documents.DOCUMENT_PREFIX):
+                            self.roots[name[len(documents.DOCUMENT_PREFIX) :]] = rev
+                    if not submission.future.done():
+                        submission.future.set_result(rev)
+
+    def _take_waiting(self) -> list[Submission]:
         batch, self.waiting = self.waiting, []
         return batch
 
-    def _fill(
+    def _fill_batch(
         self,
     ) -> tuple[list[Submission], dict[str, int], dict[str, Any], str, list[list[Any]]]:
-        """As many waiting submissions as fit a transaction and this node's page."""
-        me = self.book.settings.name
-        number, rows = self.book.heads[me], list(self.book.own)
-        key = ledger.page_key(me, number)
-        # A page has room for the ends of its tasks, which the leader adds when it is full: one that
-        # was filled without it could not be written any more.
+        """Take as many waiting submissions as fit a transaction and this node's page.
+
+        Returns the batch, guards, writes, and the key and rows of the page.
+        """
+        node = self.ledger.settings.name
+        number, rows = self.ledger.newest_numbers[node], list(self.ledger.own_rows)
+        key = ledger.page_key(node, number)
+        # The leader adds final states to a page once it is full. Space for them is reserved here;
+        # without it the page would exceed the size of a value.
         size = records.encoded_size(key, {"rows": rows}) + ix.FINAL_BYTES * len(rows)
         guards: dict[str, int] = {}
         writes: dict[str, Any] = {}
         batch: list[Submission] = []
         total = 0
         while self.waiting:
-            one = self.waiting[0]
-            row = ix.rows_of([one.entry])
+            submission = self.waiting[0]
+            row = ix.encode_rows([submission.entry])
             width = records.encoded_size("", row) + ix.FINAL_BYTES
-            if not batch and (size + width > self.book.page_bytes or key in self.book.gone):
-                # The page is full: the next one begins.
+            if not batch and (size + width > self.ledger.page_bytes or key in self.ledger.retired):
+                # The page is full or retired: start the next one.
                 number, rows = number + 1, []
-                key = ledger.page_key(me, number)
+                key = ledger.page_key(node, number)
                 size = records.encoded_size(key, {"rows": rows})
-            new = {k: v for k, v in one.writes.items() if k not in writes}
+            new = {k: v for k, v in submission.writes.items() if k not in writes}
             if batch and (
-                size + width > self.book.page_bytes
+                size + width > self.ledger.page_bytes
                 or len(writes) + len(new) + 1 > self.txn_ops
-                or len(guards | one.guards) + 1 > 4 * self.txn_ops
-                or total + one.size + size + width > c.TXN_BYTES
-                or any(guards.get(k, rev) != rev for k, rev in one.guards.items())
+                or len(guards | submission.guards) + 1 > 4 * self.txn_ops
+                or total + submission.size + size + width > c.TXN_BYTES
+                or any(guards.get(k, rev) != rev for k, rev in submission.guards.items())
             ):
                 break
             self.waiting.pop(0)
-            batch.append(one)
-            guards |= one.guards
+            batch.append(submission)
+            guards |= submission.guards
             writes |= new
-            total += one.size
+            total += submission.size
             rows += row
             size += width
-        guards[key] = self.book.pages.get(key, 0)
+        guards[key] = self.ledger.page_revs.get(key, 0)
         writes[key] = {"rows": rows}
         return batch, guards, writes, key, rows
 
-    async def _conflict(self, batch: list[Submission], failed: set[str]) -> None:
-        """Nothing was applied. Those at fault are told; the others go again."""
-        again: list[Submission] = []
-        for one in batch:
-            mine = {sk.JOB + one.entry.id, sk.FINAL_RECORD + one.entry.id} & failed
-            stale = [k for k in one.guards if k.startswith(documents.DOC) and k in failed]
-            if mine:
-                if not one.future.done():
-                    one.future.set_result(None)
+    async def _resolve_conflict(self, batch: list[Submission], failed: set[str]) -> None:
+        """Fail the submissions whose guards failed, and queue the others again.
+
+        Nothing of the transaction was applied.
+        """
+        retried: list[Submission] = []
+        for submission in batch:
+            known_ids = {
+                sk.JOB + submission.entry.id,
+                sk.FINAL_RECORD + submission.entry.id,
+            } & failed
+            stale = [
+                k
+                for k in submission.guards
+                if k.startswith(documents.DOCUMENT_PREFIX) and k in failed
+            ]
+            if known_ids:
+                if not submission.future.done():
+                    submission.future.set_result(None)
             elif stale:
                 try:
                     for key in stale:
-                        await self.know_root(key[len(documents.DOC) :].split("/")[0])
+                        await self.refresh_root(key[len(documents.DOCUMENT_PREFIX) :].split("/")[0])
                 except Unavailable as error:
-                    if not one.future.done():
-                        one.future.set_exception(error)
+                    if not submission.future.done():
+                        submission.future.set_exception(error)
                     continue
-                if not one.future.done():
-                    one.future.set_exception(Stale())
+                if not submission.future.done():
+                    submission.future.set_exception(StaleDocument())
             else:
-                again.append(one)
-        if any(key.startswith(ledger.LOG) for key in failed) or not failed:
-            self.sure = False
-        self.waiting = again + self.waiting
+                retried.append(submission)
+        if any(key.startswith(ledger.PAGE_PREFIX) for key in failed) or not failed:
+            self.page_known = False
+        self.waiting = retried + self.waiting
--- a/coveflow/tes/models.py
+++ b/coveflow/tes/models.py
@@ -1,7 +1,7 @@
 """The schema of TES 1.1, as GA4GH publishes it (task_execution_service.openapi.yaml).
 
-Field names are the schema's own. A client's task is read strictly: what is not in the schema, or
-not supported here, is refused with a sentence that names the field, never ignored.
+Field names are those of the schema. A client's task is decoded strictly: a field that is not in the
+schema or not supported here is refused with a message that names it, never ignored.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 import msgspec
 
 Int32 = Annotated[int, msgspec.Meta(ge=-(2**31), le=2**31 - 1)]
-NAME_BYTES = 512  # of a name: it is in every listing
-TAGS_BYTES = 2_048  # of all tags together, as JSON
-EXECUTORS_MOST = 10_000
-WILD = re.compile(r"[*?\[]")
+NAME_BYTES = 512  # longest name; names are kept in the index
+TAGS_BYTES = 2_048  # size of all tags together, as JSON
+EXECUTORS_MAX = 10_000  # executors of a task
+WILDCARD = re.compile(r"[*?\[]")
 
 
-class Refused(ValueError):
-    """The client's task cannot be taken; `status` and a sentence that names the field."""
+class RequestError(ValueError):
+    """A client's request is refused, with an HTTP status and a message that names the field."""
 
     def __init__(self, text: str, status: int = 400) -> None:
         super().__init__(text)
@@ -117,8 +117,8 @@
 
 
 class TaskLog(msgspec.Struct, frozen=True, omit_defaults=True):
-    # The schema wants `logs` and `outputs` even where they are empty: no defaults, so never left
-    # out.
+    # The schema requires `logs` and `outputs` even if empty; without a default they are always
+    # encoded.
     logs: list[ExecutorLog]
     outputs: list[OutputFileLog]
     metadata: dict[str, str] | None = None
@@ -128,7 +128,7 @@
 
 
 class Document(_Strict):
-    """What is kept of a task beside its job: all but what listings filter by."""
+    """The stored part of a task: all fields but those that listings filter by."""
 
     executors: list[Executor]
     description: str | None = None
@@ -200,138 +200,145 @@
 
 
 def read_task(body: bytes) -> Task:
-    """A client's task, checked whole. Raises Refused, naming the field and what would be right."""
+    """Decode and validate a client's task. Raises RequestError that names the invalid field."""
     try:
         task = msgspec.json.decode(body, type=Task)
     except msgspec.ValidationError as error:
-        raise Refused(f"the task does not fit the schema: {error}") from error
+        raise RequestError(f"the task does not fit the schema: {error}") from error
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise Refused(f"the body is not JSON: {error}") from error
+        raise RequestError(f"the body is not JSON: {error}") from error
     for name in READ_ONLY:
         if getattr(task, name) is not None:
-            raise Refused(f"{name} is for the server to fill in; leave it out")
+            raise RequestError(f"{name} is for the server to fill in; leave it out")
     if not task.executors:
-        raise Refused("executors must hold at least one executor")
-    if len(task.executors) > EXECUTORS_MOST:
-        raise Refused(f"executors holds {len(task.executors)}; at most {EXECUTORS_MOST} are taken")
+        raise RequestError("executors must hold at least one executor")
+    if len(task.executors) > EXECUTORS_MAX:
+        raise RequestError(
+            f"executors holds {len(task.executors)}; at most {EXECUTORS_MAX} are taken"
+        )
     if task.name is not None and len(task.name.encode()) > NAME_BYTES:
-        raise Refused(f"name is longer than {NAME_BYTES} bytes")
+        raise RequestError(f"name is longer than {NAME_BYTES} bytes")
     if task.tags and len(msgspec.json.encode(task.tags)) > TAGS_BYTES:
-        raise Refused(f"tags take more than {TAGS_BYTES} bytes; put what is long in description")
+        raise RequestError(
+            f"tags take more than {TAGS_BYTES} bytes; put what is long in description"
+        )
     for i, executor in enumerate(task.executors):
-        _executor(f"executors[{i}]", executor)
+        _validate_executor(f"executors[{i}]", executor)
     for i, item in enumerate(task.inputs or ()):
-        _path(f"inputs[{i}].path", item.path)
+        _validate_path(f"inputs[{i}].path", item.path)
         if item.content is None and not item.url:
-            raise Refused(f"inputs[{i}] needs a url or content")
+            raise RequestError(f"inputs[{i}] needs a url or content")
         if item.content is not None and item.type == FileType.DIRECTORY:
-            raise Refused(f"inputs[{i}].content is a file's; its type cannot be DIRECTORY")
+            raise RequestError(f"inputs[{i}].content is a file's; its type cannot be DIRECTORY")
     for i, item in enumerate(task.outputs or ()):
-        _output(f"outputs[{i}]", item)
+        _validate_output(f"outputs[{i}]", item)
     for i, path in enumerate(task.volumes or ()):
-        _path(f"volumes[{i}]", path)
-    _no_overlaps(task)
-    _resources(task.resources)
+        _validate_path(f"volumes[{i}]", path)
+    _validate_overlaps(task)
+    _validate_resources(task.resources)
     return task
 
 
-def _executor(where: str, executor: Executor) -> None:
+def _validate_executor(where: str, executor: Executor) -> None:
     if not executor.image:
-        raise Refused(f"{where}.image is empty")
+        raise RequestError(f"{where}.image is empty")
     if not executor.command or not executor.command[0]:
-        raise Refused(f"{where}.command names no program")
+        raise RequestError(f"{where}.command names no program")
     if any("\0" in word for word in executor.command):
-        raise Refused(f"{where}.command holds a NUL character")
+        raise RequestError(f"{where}.command holds a NUL character")
     for name in ("workdir", "stdin", "stdout", "stderr"):
         path = getattr(executor, name)
         if path is not None:
-            _path(f"{where}.{name}", path)
+            _validate_path(f"{where}.{name}", path)
     for name, value in (executor.env or {}).items():
         if not name or "=" in name or "\0" in name + value:
-            raise Refused(f"{where}.env: {name!r} is no name of a variable, or its value has a NUL")
+            raise RequestError(
+                f"{where}.env: {name!r} is no name of a variable, or its value has a NUL"
+            )
 
 
-def normal(path: str) -> str:
-    """The shortest form of an absolute path.
+def normalize_path(path: str) -> str:
+    """Return the shortest form of an absolute path.
 
-    POSIX lets two slashes at the beginning stand, and the walk from there upwards never met "/".
+    `posixpath.normpath` keeps two leading slashes, as POSIX allows. Walking up the parents of such
+    a path would never reach "/", so they are reduced to one.
     """
     return "/" + posixpath.normpath(path).lstrip("/")
 
 
-def _path(where: str, path: str) -> None:
-    """Paths are absolute and stay inside the task's own directory."""
+def _validate_path(where: str, path: str) -> None:
+    """Check that a path is absolute and stays inside the task's directory."""
     if not path.startswith("/"):
-        raise Refused(f"{where} must be absolute, not {path[:100]!r}")
+        raise RequestError(f"{where} must be absolute, not {path[:100]!r}")
     if "\0" in path:
-        raise Refused(f"{where} holds a NUL character")
+        raise RequestError(f"{where} holds a NUL character")
     if ".." in path.split("/"):
-        raise Refused(f"{where} holds '..', which could lead out of the task's directory")
-    if normal(path) == "/":
-        raise Refused(f"{where} must name something below /")
+        raise RequestError(f"{where} holds '..', which could lead out of the task's directory")
+    if normalize_path(path) == "/":
+        raise RequestError(f"{where} must name something below /")
 
 
-def _output(where: str, item: Output) -> None:
-    _path(f"{where}.path", item.path)
+def _validate_output(where: str, item: Output) -> None:
+    _validate_path(f"{where}.path", item.path)
     if not item.url:
-        raise Refused(f"{where}.url is empty")
-    wild = WILD.search(item.path)
+        raise RequestError(f"{where}.url is empty")
+    wild = WILDCARD.search(item.path)
     if wild and not item.path_prefix:
-        raise Refused(f"{where}.path has wildcards, so path_prefix must say what to take off")
+        raise RequestError(f"{where}.path has wildcards, so path_prefix must say what to take off")
     if item.path_prefix is not None:
-        _path(f"{where}.path_prefix", item.path_prefix)
+        _validate_path(f"{where}.path_prefix", item.path_prefix)
         if not wild:
-            raise Refused(f"{where}.path_prefix goes only with wildcards in path")
+            raise RequestError(f"{where}.path_prefix goes only with wildcards in path")
         if not item.path.startswith(item.path_prefix):
-            raise Refused(f"{where}.path does not begin with its path_prefix")
+            raise RequestError(f"{where}.path does not begin with its path_prefix")
 
 
-def _no_overlaps(task: Task) -> None:
-    """Two inputs at one place, or an input inside one that is a file, cannot both be laid out."""
+def _validate_overlaps(task: Task) -> None:
+    """Refuse two inputs at the same path, and an input below one that is a file."""
     files: dict[str, int] = {}
     for i, item in enumerate(task.inputs or ()):
-        path = normal(item.path)
+        path = normalize_path(item.path)
         if path in files:
-            raise Refused(f"inputs[{i}].path is also that of inputs[{files[path]}]")
+            raise RequestError(f"inputs[{i}].path is also that of inputs[{files[path]}]")
         files[path] = i
     for i, item in enumerate(task.inputs or ()):
-        above = posixpath.dirname(normal(item.path))
+        above = posixpath.dirname(normalize_path(item.path))
         while above != "/":
             other = files.get(above)
             if other is not None and (task.inputs or [])[other].type == FileType.FILE:
-                raise Refused(f"inputs[{i}].path lies inside inputs[{other}], which is a file")
+                raise RequestError(f"inputs[{i}].path lies inside inputs[{other}], which is a file")
             above = posixpath.dirname(above)
 
 
-def _resources(found: Resources | None) -> None:
+def _validate_resources(found: Resources | None) -> None:
     if found is None:
         return
     if found.cpu_cores is not None and found.cpu_cores < 1:
-        raise Refused("resources.cpu_cores must be at least 1")
+        raise RequestError("resources.cpu_cores must be at least 1")
     for name in ("ram_gb", "disk_gb"):
         value = getattr(found, name)
         if value is not None and not (math.isfinite(value) and value >= 0):
-            raise Refused(f"resources.{name} must be a finite number of at least 0")
+            raise RequestError(f"resources.{name} must be a finite number of at least 0")
 
 
-def check_urls(task: Task, storage: tuple[str, ...]) -> None:
-    """Every url must begin with one of the storage prefixes. Raises Refused."""
+def validate_urls(task: Task, storage: tuple[str, ...]) -> None:
+    """Check that every url begins with one of the storage prefixes. Raises RequestError."""
     inputs = [(i, x) for i, x in enumerate(task.inputs or ()) if x.content is None]
     rows = [(f"inputs[{i}].url", x.url) for i, x in inputs]
     rows += [(f"outputs[{i}].url", x.url) for i, x in enumerate(task.outputs or ())]
     for where, url in rows:
         if not any((url or "").startswith(prefix) for prefix in storage):
-            raise Refused(f"{where} is not in a storage that is served: {', '.join(storage)}")
+            raise RequestError(f"{where} is not in a storage that is served: {', '.join(storage)}")
         try:
             parts = urlsplit(url or "")
         except ValueError as error:
-            raise Refused(f"{where} is not a URL: {error}") from error
+            raise RequestError(f"{where} is not a URL: {error}") from error
         if parts.scheme == "file" and (".." in parts.path.split("/") or not parts.path.strip("/")):
-            raise Refused(f"{where} must name a path without '..'")
+            raise RequestError(f"{where} must name a path without '..'")
 
 
-def document_of(task: Task) -> bytes:
-    """The canonical bytes of what is kept of a task; equal tasks have equal ones."""
+def encode_document(task: Task) -> bytes:
+    """Encode a task's document canonically, so that equal tasks share one document."""
     document = Document(
         task.executors, task.description, task.inputs, task.outputs, task.resources, task.volumes
     )
@@ -342,11 +349,13 @@
     return msgspec.json.decode(raw, type=Document)
 
 
-def shown(document: Document, view: View, fields: dict[str, Any], logs: list[TaskLog]) -> Task:
-    """The task as a view shows it; `fields` are id, state, name, tags and creation_time.
+def render_task(
+    document: Document, view: View, fields: dict[str, Any], logs: list[TaskLog]
+) -> Task:
+    """Return the task in a view; `fields` are id, state, name, tags and creation_time.
 
-    BASIC leaves out what may be long, as the schema lists it: inputs' content, executors' stdout
-    and stderr, and the system's logs.
+    BASIC omits the fields that the schema lists as possibly long: the inputs' content, the
+    executors' stdout and stderr, and the system logs.
     """
     inputs = document.inputs
     if view == View.BASIC:
--- a/coveflow/tes/openapi.py
+++ b/coveflow/tes/openapi.py
@@ -1,4 +1,4 @@
-"""The OpenAPI document that is served, made from the models it is about."""
+"""The OpenAPI document served by the task API, generated from the models."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from coveflow.tes import models
 from coveflow.tes.models import State, View
 
-SHOWN = (
+DOCUMENTED_TYPES = (
     models.Task, models.CreateTaskResponse, models.ListTasksResponse, models.CancelTaskResponse,
     models.ServiceInfo, models.Fault,
 )  # fmt: skip
-FAULTS = {
+ERROR_DESCRIPTIONS = {
     "400": "The request is wrong; the message names the field or parameter.",
     "401": "No good token.",
     "403": "The token has no right to this.",
@@ -26,20 +26,21 @@
     "429": "Beyond this interface's part of the budgets; come back after Retry-After.",
     "503": "Not now; come back after Retry-After.",
 }
-ABOUT_KEY = (
+IDEMPOTENCY_KEY_DESCRIPTION = (
     "Submissions with the same key and the same task are one task, whatever node they reach."
     " Without a key a client that never saw the answer cannot know whether its task was accepted."
 )
 
 
-def _json(name: str) -> dict[str, Any]:
+def _json_content(name: str) -> dict[str, Any]:
     return {"application/json": {"schema": {"$ref": f"#/components/schemas/{name}"}}}
 
 
-def _answers(name: str, *faults: str) -> dict[str, Any]:
-    good = {"200": {"description": "Good.", "content": _json(name)}}
+def _responses(name: str, *faults: str) -> dict[str, Any]:
+    good = {"200": {"description": "Good.", "content": _json_content(name)}}
     return good | {
-        code: {"description": FAULTS[code], "content": _json("Fault")} for code in faults
+        code: {"description": ERROR_DESCRIPTIONS[code], "content": _json_content("Fault")}
+        for code in faults
     }
 
 
@@ -49,10 +50,12 @@
 
 @functools.cache
 def document(title: str) -> dict[str, Any]:
-    """The whole document, OpenAPI 3.1."""
-    _, schemas = msgspec.json.schema_components(SHOWN, ref_template="#/components/schemas/{name}")
+    """Return the complete document, in OpenAPI 3.1."""
+    _, schemas = msgspec.json.schema_components(
+        DOCUMENTED_TYPES, ref_template="#/components/schemas/{name}"
+    )
     task = schemas["Task"]
-    # What a view leaves out is not required of an answer; submissions are checked by hand.
+    # No field is required in responses, as views omit some; NewTask has its own list.
     task["required"] = []
     for name in models.READ_ONLY:
         task["properties"][name]["readOnly"] = True
@@ -79,7 +82,7 @@
                 "get": {
                     "operationId": "GetServiceInfo",
                     "security": [],
-                    "responses": _answers("ServiceInfo"),
+                    "responses": _responses("ServiceInfo"),
                 }
             },
             "/tasks": {
@@ -97,23 +100,23 @@
                         _parameter("page_token", "query", text),
                         view,
                     ],
-                    "responses": _answers("ListTasksResponse", "400", *common),
+                    "responses": _responses("ListTasksResponse", "400", *common),
                 },
                 "post": {
                     "operationId": "CreateTask",
                     "parameters": [
                         _parameter(
                             "Idempotency-Key", "header", text | {"maxLength": 200},
-                            description=ABOUT_KEY,
+                            description=IDEMPOTENCY_KEY_DESCRIPTION,
                         )
                     ],
-                    "requestBody": {"required": True, "content": _json("NewTask")},
-                    "responses": _answers(
+                    "requestBody": {"required": True, "content": _json_content("NewTask")},
+                    "responses": _responses(
                         "CreateTaskResponse", "400", "408", "413", "415", *common
                     )
                     | {"409": {
                         "description": "The key was used for another task.",
-                        "content": _json("Fault"),
+                        "content": _json_content("Fault"),
                     }},
                 },
             },
@@ -121,14 +124,14 @@
                 "get": {
                     "operationId": "GetTask",
                     "parameters": [name, view],
-                    "responses": _answers("Task", "400", "404", *common),
+                    "responses": _responses("Task", "400", "404", *common),
                 }
             },
             "/tasks/{id}:cancel": {
                 "post": {
                     "operationId": "CancelTask",
                     "parameters": [name],
-                    "responses": _answers("CancelTaskResponse", "400", "404", *common),
+                    "responses": _responses("CancelTaskResponse", "400", "404", *common),
                 }
             },
         },
--- a/coveflow/tes/start.py
+++ b/coveflow/tes/start.py
@@ -1,4 +1,4 @@
-"""The interface put together and hung into a controller that wants it."""
+"""Creates the task API and attaches it to a controller node."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 from coveflow.net.http import Unavailable
 from coveflow.settings import SettingsError, Tes, parse_address
 from coveflow.tes import models
-from coveflow.tes.access import Access
+from coveflow.tes.access import Authenticator
 from coveflow.tes.collector import Collector
 from coveflow.tes.http import Listener
 from coveflow.tes.ledger import Busy, Ledger
-from coveflow.tes.models import Refused
+from coveflow.tes.models import RequestError
 from coveflow.tes.service import NotFound, Service
 from coveflow.wire import runner
 
 log = Log("coveflow.tes")
 
-AGAIN_S = 2.0  # s until a part that failed begins again
+RESTART_DELAY_S = 2.0  # s before a failed background loop is restarted
 
 
-def where(tes: Tes, name: str, front: str) -> str:
-    """The address this controller listens on. Raises SettingsError where none is said."""
+def listen_address(tes: Tes, name: str, front: str) -> str:
+    """Return the address to listen on. Raises SettingsError if none is configured."""
     found = tes.listen.get(name)
     if found is None and tes.port:
         found = f"{parse_address(front)[0]}:{tes.port}"
@@ -41,9 +41,9 @@
 
 
 def attach(node: Node, tes: Tes, home: Path) -> Listener:
-    """Serve tasks from this controller; `home` is where the operators' file is.
+    """Attach the task API to this controller; paths in the settings are relative to `home`.
 
-    Raises SettingsError for files that are missing or wrong.
+    Raises SettingsError for files that are missing or invalid.
     """
     settings = node.settings
     ledger = Ledger(settings, tes, node.store, node.clock, node.wall)
@@ -51,40 +51,42 @@
         settings, tes, node.owner, node.store, node.user_api.jobs, ledger, node.clock, node.wall
     )
     try:
-        access = Access(home / tes.tokens if tes.tokens else None, node.clock)
+        access = Authenticator(home / tes.tokens if tes.tokens else None, node.clock)
     except (OSError, UnicodeDecodeError) as error:
         why = getattr(error, "strerror", None) or error
         raise SettingsError(f"tes: tokens in {home / tes.tokens}: {why}") from error
     except forms.FormError as error:
         raise SettingsError(str(error)) from error
-    listener = Listener(tes, service, access, where(tes, settings.name, settings.front), home)
+    listener = Listener(
+        tes, service, access, listen_address(tes, settings.name, settings.front), home
+    )
     listener.load_certificate()
     collector = Collector(
         ledger, node.store, node.owner, settings.params.state.txn_ops, tes.retention_h * 3600.0,
         node.wall,
     )  # fmt: skip
-    node.owner.context.final_record_rows = ledger.finals
-    machines = Machines(service)
-    node.user_api.extra_handlers[runner.TASK_PATH] = machines.task
-    node.user_api.extra_handlers[runner.RESULT_PATH] = machines.told
-    for loop in (ledger.run, listener.run, access.follow, collector.run):
-        node.loops.append(functools.partial(_kept_up, loop))
+    node.owner.context.final_record_rows = ledger.end_record_rows
+    runner_requests = RunnerRequests(service)
+    node.user_api.extra_handlers[runner.TASK_PATH] = runner_requests.task
+    node.user_api.extra_handlers[runner.RESULT_PATH] = runner_requests.result
+    for loop in (ledger.run, listener.run, access.follow_file, collector.run):
+        node.loops.append(functools.partial(_restart_on_failure, loop))
     return listener
 
 
-async def _kept_up(loop: Callable[[], Awaitable[None]]) -> None:
-    """Begin again what failed: a fault in this interface must not end the controller."""
+async def _restart_on_failure(loop: Callable[[], Awaitable[None]]) -> None:
+    """Restart a loop that failed: a fault in the task API must not stop the controller."""
     while True:
         try:
             await loop()
             return
         except Exception:
-            log.exception("a part of the task interface failed; it begins again")
-        await asyncio.sleep(AGAIN_S)
+            log.exception("a background loop of the task API failed; restarting it")
+        await asyncio.sleep(RESTART_DELAY_S)
 
 
-class Machines:
-    """What machines that run task documents ask and tell."""
+class RunnerRequests:
+    """Handles requests of machines that run tasks: fetch a task, report its result."""
 
     def __init__(self, service: Service) -> None:
         self.service = service
@@ -101,17 +103,17 @@
             found = None
         return web.Response(status=404) if found is None else _cbor(runner.task_body(found))
 
-    async def told(self, request: web.BaseRequest) -> web.StreamResponse:
+    async def result(self, request: web.BaseRequest) -> web.StreamResponse:
         if request.method != "POST":
             return web.Response(status=404)
         try:
-            told = runner.read_result(await read_body(request))
-            msgspec.json.decode(told.log, type=models.TaskLog)
-            kept = await self.service.told(told)
-        except (wire.Malformed, msgspec.DecodeError, Refused) as error:
+            result = runner.read_result(await read_body(request))
+            msgspec.json.decode(result.log, type=models.TaskLog)
+            kept = await self.service.record_result(result)
+        except (wire.Malformed, msgspec.DecodeError, RequestError) as error:
             return _cbor(wire.error_answer(str(error)), 400)
         except (Busy, Unavailable) as error:
-            log.debug("a task's word not kept yet", why=error)
+            log.debug("task result not recorded yet", why=error)
             return web.Response(status=503, headers={"Retry-After": "1"})
         return _cbor(wire.pack({"kept": kept}), 410 if kept == "over" else 200)
 
--- a/tests/tes_nodes.py
+++ b/tests/tes_nodes.py
@@ -1,7 +1,7 @@
-"""Controllers' halves of the task API in one process, over the lab's model of the state service.
+"""The task API of several controllers in one process, over the lab's model of the state service.
 
-Answers of the store can be lost after it applied the request (`lose`), refused (`down`), or a step
-of another node can be put between a look and a commit (`between`).
+A node's store client can lose the answer of a commit that was applied (`lost_answers`), refuse
+requests (`down`), or run another node's step before a commit (`before_commit`).
 """
 
 from __future__ import annotations
@@ -39,41 +39,41 @@
         return self.now
 
 
-class Keys:
-    """A node's client of the model, as `state.store.Store` is of the service."""
+class ModelStore:
+    """A node's client of the store model; stands in for `state.store.Store`."""
 
     def __init__(self, model: Model, clock: Clock) -> None:
         self.model, self.clock = model, clock
         self.requests, self.changes = TokenBucket(1e6, clock), TokenBucket(1e6, clock)
         self.down = False
-        self.lose = 0  # commits whose answers are lost
-        self.between = lambda guards, writes: None
+        self.lost_answers = 0  # number of further commits whose answers are lost
+        self.before_commit = lambda guards, writes: None
         self.contact_at = clock()
 
     def pace_s(self, least_s: float, part: float) -> float:
         return least_s
 
     async def get(self, key):
-        await self._asked()
+        await self._before_request()
         row = self.model.get(key)
         return (None, 0) if row is None else (copy.deepcopy(row.value), row.rev)
 
     async def page(self, prefix, after, most):
-        await self._asked()
+        await self._before_request()
         rows, more = self.model.list(prefix, after or "", most)
         return [(k, copy.deepcopy(r.value), r.rev) for k, r in rows], more, self.model.rev
 
     async def commit(self, guards, writes):
-        await self._asked()
-        self.between(guards, writes)
+        await self._before_request()
+        self.before_commit(guards, writes)
         try:
             rev = self.model.commit(
                 guards, {k: (copy.deepcopy(v), None) for k, v in writes.items()}, self.clock()
             )
         except Failed as failed:
             raise Conflict(failed.keys) from None
-        if writes and self.lose:
-            self.lose -= 1
+        if writes and self.lost_answers:
+            self.lost_answers -= 1
             raise UnknownOutcome("no answer")
         return rev
 
@@ -81,7 +81,7 @@
         assert set(writes) <= set(guards)
         return await self.commit(guards, writes)
 
-    async def _asked(self):
+    async def _before_request(self):
         await asyncio.sleep(0)
         if self.down:
             raise Unavailable("down")
@@ -95,7 +95,7 @@
         members = [s.Member(other, "north", "127.0.0.1:9") for other in ("a", "b") if other != name]
         settings = msgspec.structs.replace(settings, members=members)
         self.tes = s.Tes(**({"port": 1, "part": 1.0} | tes))
-        self.store = Keys(model, clock)
+        self.store = ModelStore(model, clock)
         self.owner = o.Owner(settings, s.Tuning(), clock, clock)
         self.owner.inbox.flavors["m8"] = flavor()
         peers = Peers(settings, None, clock, dict, None)
@@ -107,29 +107,29 @@
         self.collector = Collector(
             self.ledger, self.store, self.owner, TXN_OPS, self.tes.retention_h * 3600.0, clock
         )
-        self.seen = 0
+        self.applied_rev = 0
 
-    async def read(self) -> None:
-        """Begin cold, as the ledger's loop does."""
-        self.seen = await self.ledger._load()
+    async def load(self) -> None:
+        """Load the index at start, as the ledger's loop does."""
+        self.applied_rev = await self.ledger._load()
         self.follow()
 
     def follow(self) -> None:
-        """What both watches would tell by now."""
+        """Apply the changes that both watches would have delivered by now."""
         model = self.store.model
-        rows = [e for e in model.events("", self.seen) if e[0].startswith(("ti/", "in/"))]
+        rows = [e for e in model.events("", self.applied_rev) if e[0].startswith(("ti/", "in/"))]
         self.ledger.apply([e for e in rows if e[0].startswith("ti/")])
         self.owner.process_batch([cm.InboxRows([e for e in rows if e[0].startswith("in/")])])
-        self.seen = model.rev
+        self.applied_rev = model.rev
         self.drain()
 
     def drain(self) -> None:
-        """Work through what was put into the owner's queue."""
+        """Process the owner's queue."""
         while not self.owner.queue.empty():
             self.owner.process_batch([self.owner.queue.get_nowait()])
 
     def lead(self) -> None:
-        """Write a view with this node as leader, as membership does."""
+        """Commit a view with this node as leader, as membership does."""
         row = self.store.model.get(sk.VIEW)
         epoch = (row.value["epoch"] if row else 0) + 1
         value = {"epoch": epoch, "leader": self.front.settings.name, "members": ["a", "b"]}
@@ -141,16 +141,16 @@
         self.owner.process_batch([cm.StartLeading(epoch, rev, rows)])
         assert self.owner.leading
 
-    def over(self, task: str, status: str = "done", **more) -> None:
-        """The leader's final record of a job, with its news, as `Commits` writes it."""
+    def finish(self, task: str, status: str = "done", **more) -> None:
+        """Commit a job's final record and end record, as the leader's `Commits` does."""
         model = self.store.model
         row = model.get(sk.JOB + task)
         record = {
             "status": status, "done": 1, "rider": row.value["rider"],
             "outcome": row.value.get("outcome") or {}, **more,
         }  # fmt: skip
-        news = self.ledger.finals(f"1-{model.rev}", {task: record})
-        writes = {sk.FINAL_RECORD + task: record, sk.JOB + task: None} | news
+        end_record = self.ledger.end_record_rows(f"1-{model.rev}", {task: record})
+        writes = {sk.FINAL_RECORD + task: record, sk.JOB + task: None} | end_record
         model.commit({sk.JOB + task: row.rev}, {k: (v, None) for k, v in writes.items()}, 0.0)
 
 
--- a/tests/test_tes_lab.py
+++ b/tests/test_tes_lab.py
@@ -1,7 +1,7 @@
-"""The task API as clients meet it: three controllers and machines of a lab, on loopback.
+"""End-to-end tests of the task API against a lab of three controllers and machines on loopback.
 
-A conformance suite (every operation, view, filter and error), `py-tes` as it is, requests made up
-at random, and the hard moments: cancels in flight, a leader killed after it accepted, a machine
+A conformance suite (every operation, view, filter and error), an unmodified `py-tes` client, random
+requests, and fault cases: cancels in flight, a leader killed after it accepted a task, a machine
 lost with work that may not run twice.
 """
 
@@ -33,7 +33,7 @@
 from coveflow.tes.models import FINAL, State
 
 BASE = "/ga4gh/tes/v1"
-pytestmark = pytest.mark.xdist_group("tes-lab")  # one lab, its history read last
+pytestmark = pytest.mark.xdist_group("tes-lab")  # one lab; its history is checked last
 LAB = """(lab (seed 3) (zones north south) (controllers 3) (restart-s 1)
   (workers (report-s 0.3) (lease-s 4) (gang-wait-s 8) (gang-peer-s 2) (cancel-s 14))
   (state (rps 900) (write-rps 400) (value-kb 8) (txn-ops 24)) (cloud (rps 20) (list-lag-s 0.5))
@@ -47,7 +47,7 @@
 
 
 class Lab:
-    """A cluster driven from a thread of its own, so that plain clients can be used on it."""
+    """A cluster run by an event loop in a thread, so that blocking clients can be used."""
 
     def __init__(self, folder: Path) -> None:
         (folder / "site.scm").write_text(LAB)
@@ -70,7 +70,7 @@
         return tes.HTTPClient(self.urls[node], timeout=5, token=self.cluster.tokens[team])
 
     def ask(self, method, path, body=None, node=0, team="blue", headers=(), url=BASE):
-        """Status, JSON and headers."""
+        """Send a request; return status, JSON and headers."""
         headers = dict(headers)
         if team is not None:
             headers.setdefault("Authorization", f"Bearer {self.cluster.tokens.get(team, team)}")
@@ -113,7 +113,7 @@
             time.sleep(0.2)
         raise AssertionError("not accepted for 8 s")
 
-    def all_agree(self, task, state):
+    def require_final_state(self, task, state):
         assert [self.wait(task, node=n) for n in range(3)] == [state] * 3
 
 
@@ -128,7 +128,7 @@
 # --- conformance -----------------------------------------------------------------------------
 
 
-def test_service_info_and_the_served_document(lab):
+def test_service_info_and_openapi_document(lab):
     status, info, _ = lab.ask("GET", "/service-info", team=None)
     assert status == 200
     assert info["type"] == {"group": "org.ga4gh", "artifact": "tes", "version": "1.1.0"}
@@ -141,7 +141,7 @@
     validate(document)
 
 
-def test_py_tes_submits_waits_lists_and_cancels(lab):
+def test_py_tes_client(lab):
     source = lab.files / "tile.txt"
     source.write_text("tile 7\n", encoding="utf-8")
     task = tes.Task(
@@ -174,10 +174,10 @@
     sleeper = tes.Executor(image="a", command=["sleep", "60"])
     slow = client.create_task(tes.Task(executors=[sleeper]))
     client.cancel_task(slow)
-    lab.all_agree(slow, "CANCELED")
+    lab.require_final_state(slow, "CANCELED")
 
 
-def test_views_and_filters_and_pages(lab):
+def test_views_filters_and_pages(lab):
     made = [
         lab.submit("true", name=f"page-{i}", tags={"set": "pages", "n": str(i % 2)})
         for i in range(7)
@@ -209,7 +209,7 @@
     assert set(minimal) == {"id", "state"}
     status, basic, _ = lab.ask("GET", f"/tasks/{made[0]}?view=BASIC")
     assert basic["name"] == "page-0" and basic["creation_time"].endswith("Z")
-    # Other teams see none of it, auditors all.
+    # Other teams see none of the tasks, auditors all.
     status, answer, _ = lab.ask("GET", "/tasks?name_prefix=page-", team="green")
     assert (status, answer["tasks"]) == (200, [])
     status, answer, _ = lab.ask("GET", "/tasks?name_prefix=page-", team="auditor")
@@ -248,7 +248,7 @@
         ("POST", "/service-info", {}, 405, "POST"),
     ],
 )  # fmt: skip
-def test_errors_say_what_is_wrong(lab, method, path, body, status, named):
+def test_errors_name_the_cause(lab, method, path, body, status, named):
     code, answer, _ = lab.ask(method, path, body)
     assert (code, answer["status_code"]) == (status, status)
     assert named in answer["message"]
@@ -266,7 +266,7 @@
     assert not any(token.partition(".")[2] in logs for token in lab.cluster.tokens.values())
 
 
-def test_a_client_that_sends_a_byte_a_second_is_let_go(lab):
+def test_slow_client_is_disconnected(lab):
     host, _, port = lab.urls[0][7:].partition(":")
     token = lab.cluster.tokens["blue"]
     head = f"POST {BASE}/tasks HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {token}\r\n"
@@ -284,15 +284,15 @@
     assert lab.ask("GET", "/service-info")[0] == 200
 
 
-def test_connections_beyond_the_limit_are_told(lab):
+def test_connections_beyond_the_limit_get_503(lab):
     host, _, port = lab.urls[1][7:].partition(":")
-    held = [socket.create_connection((host, int(port)), timeout=5) for _ in range(50)]
+    connections = [socket.create_connection((host, int(port)), timeout=5) for _ in range(50)]
     try:
         time.sleep(0.2)
         code, answer, headers = lab.ask("GET", "/service-info", node=1)
         assert (code, headers["Retry-After"]) == (503, "1") and "connections" in answer["message"]
     finally:
-        for s in held:
+        for s in connections:
             s.close()
     time.sleep(0.3)
     assert lab.ask("GET", "/service-info", node=1)[0] == 200
@@ -331,10 +331,10 @@
         assert status < 400 or answer["message"]
 
 
-# --- tasks that run ----------------------------------------------------------------------------
+# --- task execution ----------------------------------------------------------------------------
 
 
-def test_how_tasks_end(lab):
+def test_final_states(lab):
     ends = {
         lab.submit("sh", "-c", "exit 7"): "EXECUTOR_ERROR",
         lab.submit("/no/such/program"): "EXECUTOR_ERROR",
@@ -345,22 +345,22 @@
                    resources={"backend_parameters": {"gang_size": "2"}}): "COMPLETE",
     }  # fmt: skip
     for task, state in ends.items():
-        lab.all_agree(task, state)
+        lab.require_final_state(task, state)
     gang = lab.ask("GET", f"/tasks/{list(ends)[-1]}?view=FULL")[1]
     assert [log["logs"][0]["stdout"] for log in gang["logs"]] == ["0 of 2\n", "1 of 2\n"]
     failed = lab.ask("GET", f"/tasks/{next(iter(ends))}?view=FULL")[1]
     assert failed["logs"][0]["logs"][0]["exit_code"] == 7
 
 
-def test_an_image_may_stand_for_a_program(lab):
+def test_image_mapped_to_a_program(lab):
     executors = [{"image": "shell", "command": ["-c", "echo by $0"]}]
     _, found, _ = lab.ask("POST", "/tasks", {"executors": executors})
-    lab.all_agree(found["id"], "COMPLETE")
+    lab.require_final_state(found["id"], "COMPLETE")
     log = lab.ask("GET", f"/tasks/{found['id']}?view=FULL")[1]["logs"][0]
     assert log["logs"][0]["stdout"] == "by /bin/sh\n"
 
 
-def test_outputs_cannot_lead_out_and_long_output_is_cut_and_told(lab):
+def test_outputs_outside_the_task_are_skipped_and_long_output_is_truncated(lab):
     target = (lab.files / "tree").as_uri()
     task = lab.submit(
         "sh", "-c",
@@ -370,7 +370,7 @@
         outputs=[{"path": "/w/d", "url": target, "type": "DIRECTORY"},
                  {"path": "/w/*.nothing", "path_prefix": "/w", "url": target}],
     )  # fmt: skip
-    lab.all_agree(task, "COMPLETE")
+    lab.require_final_state(task, "COMPLETE")
     assert [p.name for p in (lab.files / "tree").iterdir()] == ["ok.txt"]
     log = lab.ask("GET", f"/tasks/{task}?view=FULL")[1]["logs"][0]
     assert log["logs"][0]["stdout"].startswith("[") and "bytes cut]" in log["logs"][0]["stdout"]
@@ -379,7 +379,7 @@
     assert any("matched nothing" in note for note in log["system_logs"])
 
 
-def test_cancels_at_every_stage_have_one_end(lab):
+def test_cancel_at_every_stage_gives_one_final_state(lab):
     def one(delay_s):
         task = lab.submit("sleep", "0.6")
         time.sleep(delay_s)
@@ -391,11 +391,11 @@
     for task in tasks:
         state = lab.wait(task)
         assert state in ("CANCELED", "COMPLETE")
-        lab.all_agree(task, state)
-    lab.all_agree(tasks[0], "CANCELED")
+        lab.require_final_state(task, state)
+    lab.require_final_state(tasks[0], "CANCELED")
 
 
-def test_work_that_may_not_run_twice_and_is_lost_ends_once(lab):
+def test_lost_task_that_may_not_repeat_fails_once(lab):
     marks = lab.files / "marks"
     task = lab.submit(
         "sh", "-c", f"echo began >> {marks}; sleep 30",
@@ -410,13 +410,13 @@
             await lab.cluster.ask(session, "/lab/fault", {"kind": "kill", "machines": on})
 
     lab.call(kill())
-    lab.all_agree(task, "SYSTEM_ERROR")
+    lab.require_final_state(task, "SYSTEM_ERROR")
     log = lab.ask("GET", f"/tasks/{task}?view=FULL")[1]["logs"][0]
     assert "allows no repeat" in log["system_logs"][0]
     assert marks.read_text() == "began\n"
 
 
-def test_a_leader_killed_after_it_accepted_leaves_one_task(lab):
+def test_leader_killed_after_accepting_leaves_one_task(lab):
     async def leader():
         async with aiohttp.ClientSession() as session:
             return await lab.cluster.leader(session)
@@ -434,7 +434,7 @@
             "Idempotency-Key: once\r\n\r\n".encode()
             + body
         )
-        time.sleep(0.03)  # accepted, and the answer is not read
+        time.sleep(0.03)  # the task is accepted, but the answer is not read
         lab.cluster.signal_node(name, signal.SIGKILL)
     ids = set()
     for other in (0, 1, 2):
@@ -448,12 +448,12 @@
                 break
             time.sleep(0.2)
     assert len(ids) == 1
-    lab.all_agree(ids.pop(), "COMPLETE")
+    lab.require_final_state(ids.pop(), "COMPLETE")
     listed = lab.ask("GET", "/tasks?name_prefix=keyed")[1]["tasks"]
     assert len(listed) == 1 and listed[0]["state"] == State.COMPLETE
 
 
-def test_a_pipeline_of_tiles_gives_the_same_bytes_with_the_leader_killed_twice(lab):
+def test_pipeline_output_is_correct_with_the_leader_killed_twice(lab):
     """24 dependent tasks: tiles are outlined, outlines joined by rows, rows into one map."""
     home = lab.files / "pipeline"
     home.mkdir()
@@ -484,7 +484,7 @@
             time.sleep(0.2)
         raise AssertionError(name)
 
-    def settled(tasks):
+    def wait_complete(tasks):
         ends = time.monotonic() + 60
         left = list(tasks)
         while left and time.monotonic() < ends:
@@ -521,7 +521,7 @@
         for i in range(16)
     ]  # fmt: skip
     kill_leader()
-    settled(first)
+    wait_complete(first)
     join = ["-c", "import sys; open('/out/file', 'w').write('|'.join(open(a).read() for a in"
             " sys.argv[1:]))"]  # fmt: skip
     rows = [
@@ -530,21 +530,21 @@
         for r in range(4)
     ]  # fmt: skip
     kill_leader()
-    settled(rows)
+    wait_complete(rows)
     halves = [
         submit(f"half-{h}", [*join, f"/in/row-{2 * h}", f"/in/row-{2 * h + 1}"],
                [f"row-{2 * h}", f"row-{2 * h + 1}"], f"half-{h}")
         for h in range(2)
     ]  # fmt: skip
-    settled(halves)
-    settled([submit("map", [*join, "/in/half-0", "/in/half-1"], ["half-0", "half-1"], "map")])
+    wait_complete(halves)
+    wait_complete([submit("map", [*join, "/in/half-0", "/in/half-1"], ["half-0", "half-1"], "map")])
     copy = submit("copy", [*join, "/in/map"], ["map"], "copy")
-    settled([copy])
+    wait_complete([copy])
     assert (home / "map").read_text() == "|".join(wanted) == (home / "copy").read_text()
 
 
 @pytest.mark.parametrize("language", ["sh", "python"])
-def test_the_users_page_does_what_it_says(lab, language):
+def test_examples_of_the_user_documentation_run(lab, language):
     page = Path(__file__).parent.parent / "docs" / "users" / "tasks.md"
     found = re.search(rf"```{language}\n(.*?)```", page.read_text(encoding="utf-8"), re.DOTALL)
     assert found is not None
@@ -559,7 +559,7 @@
         assert (lab.files / "users-page").read_text() == "FIELD 7"
 
 
-def test_the_history_of_all_that_breaks_no_rule(lab):
+def test_history_passes_the_checker(lab):
     rows = lab.cluster.history([])
     assert len([r for r in rows if r["kind"] == "on"]) > 20
     assert lab.cluster.check(rows) == []
--- a/tests/test_tes_models.py
+++ b/tests/test_tes_models.py
@@ -1,4 +1,4 @@
-"""What clients send: taken whole or refused with a sentence that names the field."""
+"""Validation of client requests: accepted, or refused with a message that names the field."""
 
 import json
 
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from coveflow.tes import mapping, models, openapi
-from coveflow.tes.models import Refused
+from coveflow.tes.models import RequestError
 
 ONE = {"executors": [{"image": "alpine", "command": ["/bin/true"]}]}
 
@@ -19,7 +19,7 @@
 
 def job(**resources):
     found = task(resources=resources)
-    return mapping.job_of(found, "j-1", "blue", ["north", "south"], 1.0)
+    return mapping.map_to_job(found, "j-1", "blue", ["north", "south"], 1.0)
 
 
 @pytest.mark.parametrize(
@@ -54,8 +54,8 @@
         ({"unheard": 1}, "unheard"),
     ],
 )  # fmt: skip
-def test_what_is_wrong_is_named(fields, named):
-    with pytest.raises(Refused, match=named):
+def test_errors_name_the_invalid_field(fields, named):
+    with pytest.raises(RequestError, match=named):
         task(**fields)
 
 
@@ -73,12 +73,12 @@
         ({"backend_parameters": {"x": "1"}, "backend_parameters_strict": True}, "'x'"),
     ],
 )
-def test_what_resources_ask_for_is_taken_or_refused(resources, named):
-    with pytest.raises(Refused, match=named):
+def test_invalid_resources_are_refused(resources, named):
+    with pytest.raises(RequestError, match=named):
         job(**resources)
 
 
-def test_every_parameter_reaches_the_job():
+def test_all_parameters_are_mapped_to_the_job():
     spec, notes = job(
         cpu_cores=2, ram_gb=3.5, disk_gb=9, preemptible=True, zones=["south"],
         backend_parameters={
@@ -91,20 +91,20 @@
     assert (spec.workload, spec.priority, spec.deadline_s, spec.expected_s) == ("tiles", 2, 90, 12)
     assert (spec.checkpoint_s, spec.save_s, spec.image_gb) == (5, 1, 2.5)
     assert (spec.types, spec.accelerators, spec.kind, spec.tasks) == (["a", "b"], 1, "gang", 4)
-    # What is not acted on is told, not ignored.
+    # Fields without effect are reported in the notes.
     assert ["unheard" in notes[0], "disk_gb" in notes[1], len(notes)] == [True, True, 2]
 
 
-def test_equal_tasks_have_equal_documents_and_names_and_tags_are_not_in_them():
+def test_equal_tasks_share_a_document_without_name_and_tags():
     one, two = task(name="a", tags={"x": "1"}), task(name="b")
-    assert models.document_of(one) == models.document_of(two)
-    assert models.document_of(one) != models.document_of(task(description="other"))
+    assert models.encode_document(one) == models.encode_document(two)
+    assert models.encode_document(one) != models.encode_document(task(description="other"))
 
 
-def test_five_thousand_executors_in_one_document():
+def test_document_with_five_thousand_executors():
     executors = [{"image": "a", "command": ["/bin/echo", str(i)]} for i in range(5000)]
     found = models.read_task(json.dumps({"executors": executors}).encode())
-    raw = models.document_of(found)
+    raw = models.encode_document(found)
     assert models.read_document(raw).executors == found.executors
 
 
@@ -124,16 +124,16 @@
 
 @settings(derandomize=True, max_examples=400)
 @given(json_values, st.binary(max_size=4))
-def test_any_body_is_a_task_or_refused(value, junk):
+def test_arbitrary_bodies_are_accepted_or_refused(value, junk):
     for body in (json.dumps(value).encode(), json.dumps(ONE | {"inputs": value}).encode(), junk):
         try:
             found = models.read_task(body)
-            mapping.job_of(found, "j-1", "blue", ["north"], 1.0)
-        except Refused as refused:
+            mapping.map_to_job(found, "j-1", "blue", ["north"], 1.0)
+        except RequestError as refused:
             assert str(refused)
 
 
-def test_the_served_document_is_openapi_and_has_every_state():
+def test_openapi_document_is_valid_and_lists_every_state():
     from openapi_spec_validator import validate
 
     document = msgspec.json.decode(msgspec.json.encode(openapi.document("test")))
@@ -147,13 +147,13 @@
     assert not {"id", "state", "logs", "creation_time"} & set(schemas["NewTask"]["properties"])
 
 
-def test_a_basic_view_leaves_out_what_may_be_long():
+def test_basic_view_omits_long_fields():
     found = task(inputs=[{"path": "/a", "content": "secret"}], outputs=None)
     log = models.TaskLog([models.ExecutorLog(0, stdout="o", stderr="e")], [], system_logs=["s"])
-    document = models.read_document(models.document_of(found))
+    document = models.read_document(models.encode_document(found))
     fields = {"id": "j-1", "state": models.State.COMPLETE}
-    full = msgspec.to_builtins(models.shown(document, models.View.FULL, fields, [log]))
-    basic = msgspec.to_builtins(models.shown(document, models.View.BASIC, fields, [log]))
+    full = msgspec.to_builtins(models.render_task(document, models.View.FULL, fields, [log]))
+    basic = msgspec.to_builtins(models.render_task(document, models.View.BASIC, fields, [log]))
     assert full["inputs"][0]["content"] == "secret" and full["logs"][0]["system_logs"] == ["s"]
     assert "content" not in basic["inputs"][0] and "system_logs" not in basic["logs"][0]
     assert basic["logs"][0]["logs"] == [{"exit_code": 0}]
