--- a/coveflow/lab/answers.py
+++ b/coveflow/lab/answers.py
@@ -1,7 +1,7 @@
-"""Answers that users got, compared by when each was sent and received.
+"""Checks the consistency of the answers to users, by when each was sent and received.
 
-Two requests are ordered only where one was sent after the other's answer had been received: the
-later one must then not be told an older state. Requests that overlap may be told either.
+Two requests are ordered only if one was sent after the other's answer had been received; the later
+one must not get an older state. Requests that overlap may get either state.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from operator import attrgetter
 
 FINAL = ("done", "cancelled")
-UNKNOWN, ACCEPTED, ENDED = 0, 1, 2  # ages of what an answer tells
+UNKNOWN, ACCEPTED, ENDED = 0, 1, 2  # stages of a job, in their order
 
 
 @dataclass(frozen=True)
 class Answer:
-    """One request and what came back; `code` is 0 where nothing did, times in s."""
+    """One request and its answer; `code` is 0 if there was none. Times are in seconds."""
 
     sent: float
     received: float
@@ -26,11 +26,11 @@
     job: str
     request: str  # poll, submit or cancel
     code: int
-    state: str | None = None  # what a 200 or 201 told
-    done: int | None = None  # tasks, where told
+    state: str | None = None  # the job's state in an answer with 200 or 201
+    done: int | None = None  # number of tasks done, if the answer has it
 
-    def age(self) -> int | None:
-        """How far the job is by this answer; None where it tells nothing of that."""
+    def stage(self) -> int | None:
+        """The job's stage according to this answer; None if the answer doesn't show it."""
         if self.code in (200, 201):
             return ENDED if self.state in FINAL else ACCEPTED
         return UNKNOWN if self.code in (400, 404, 422) else None
@@ -41,8 +41,8 @@
 
 
 @dataclass(frozen=True)
-class Older:
-    """`later` was sent after `earlier` had been received, and tells something older."""
+class StaleAnswer:
+    """`later` was sent after `earlier` had been received, and shows an older state."""
 
     earlier: Answer
     later: Answer
@@ -54,47 +54,50 @@
 def _by_job(answers: Iterable[Answer]) -> dict[str, list[Answer]]:
     found: dict[str, list[Answer]] = defaultdict(list)
     for answer in answers:
-        if answer.age() is not None:
+        if answer.stage() is not None:
             found[answer.job].append(answer)
     return found
 
 
-def older(answers: Iterable[Answer]) -> list[Older]:
-    """Each answer that is older than one received before it was asked for."""
+def stale_answers(answers: Iterable[Answer]) -> list[StaleAnswer]:
+    """Answers with an older state than one that was received before their request was sent."""
     found = []
-    for mine in _by_job(answers).values():
-        received = sorted(mine, key=attrgetter("received"))
+    for job_answers in _by_job(answers).values():
+        received = sorted(job_answers, key=attrgetter("received"))
         newest: Answer | None = None
         at = 0
-        for later in sorted(mine, key=attrgetter("sent")):
+        for later in sorted(job_answers, key=attrgetter("sent")):
             while received[at].received < later.sent:
-                if newest is None or received[at].age() > newest.age():  # type: ignore[operator]
+                if newest is None or received[at].stage() > newest.stage():  # type: ignore[operator]
                     newest = received[at]
                 at += 1
             if newest is None:
                 continue
-            ended = newest.age() == ENDED and later.state != newest.state
-            if ended or later.age() < newest.age():  # type: ignore[operator]
-                found.append(Older(newest, later))
+            ended = newest.stage() == ENDED and later.state != newest.state
+            if ended or later.stage() < newest.stage():  # type: ignore[operator]
+                found.append(StaleAnswer(newest, later))
     return found
 
 
 def contradictions(answers: Iterable[Answer]) -> list[str]:
-    """Jobs of which both ends were told, in whatever order."""
+    """Jobs that were reported both as done and as cancelled, in any order."""
     return [
         job
-        for job, mine in _by_job(answers).items()
-        if len({a.state for a in mine if a.state in FINAL}) > 1
+        for job, job_answers in _by_job(answers).items()
+        if len({a.state for a in job_answers if a.state in FINAL}) > 1
     ]
 
 
-def count_falls(answers: Iterable[Answer]) -> int:
-    """How often `done` was less than in an answer received before; counts are for display only."""
+def count_decreases(answers: Iterable[Answer]) -> int:
+    """How often `done` was lower than in an answer received before the request was sent.
+
+    The counts are for display only, so a decrease breaks no rule.
+    """
     falls = 0
-    for mine in _by_job(a for a in answers if a.done is not None).values():
-        received = sorted(mine, key=attrgetter("received"))
+    for job_answers in _by_job(a for a in answers if a.done is not None).values():
+        received = sorted(job_answers, key=attrgetter("received"))
         most, at = -math.inf, 0
-        for later in sorted(mine, key=attrgetter("sent")):
+        for later in sorted(job_answers, key=attrgetter("sent")):
             while received[at].received < later.sent:
                 most = max(most, received[at].done or 0)
                 at += 1
--- a/coveflow/lab/check.py
+++ b/coveflow/lab/check.py
@@ -1,7 +1,8 @@
-"""The protocol's rules, read off a lab's history: which were broken, where and when.
+"""Checks a lab's history against the rules of the protocol and lists the violations.
 
-A history is rows in the order of their times. Workers' rows say when a task came on and off a
-machine; users' rows say what was asked and answered. The same checker serves live and after.
+A history is a sequence of rows in order of time. Rows of workers record when a task started and
+stopped occupying a machine; rows of users record requests and answers. The checker works during a
+run as well as after it.
 """
 
 from __future__ import annotations
@@ -17,18 +18,19 @@
 from coveflow.core.model import Flavor, Spec
 from coveflow.lab.impossible import why_impossible
 from coveflow.lab.late_starts import LateStarts
-from coveflow.lab.waits import OpenJob, Waits
+from coveflow.lab.waits import OpenJob, WaitDetector
 from coveflow.settings import Team
 
-CALM_S = 75.0  # s without an answer about a job, once all troubles are over, that forget it
-CLOCKS_S = 0.1  # s by which clocks that drift by 0.05% may differ over cancel_s, and more
-BACKOFF_S = 90.0  # s after a failure in which a job is not expected to take whatever room there is
-FORGOTTEN_S = 90.0  # s for which every poll for a job may fail while most others are answered
+# Time without an answer about a job, after all injected faults are over, that counts as forgotten.
+UNANSWERED_S = 75.0
+CLOCK_TOLERANCE_S = 0.1  # allows for clocks that drift by 0.05% over cancel_s, with a margin
+BACKOFF_S = 90.0  # after a failure of a job, how long it is not expected to use free capacity
+FORGOTTEN_S = 90.0  # how long all polls for a job may fail while most others are answered
 
 
 @dataclass(frozen=True)
-class Broken:
-    """A rule that was broken; `at` in s of the history's clock."""
+class Violation:
+    """A violation of `rule`; `at` is in seconds of the history's clock."""
 
     rule: str
     at: float
@@ -39,20 +41,20 @@
 class _Job:
     spec: Spec | None = None
     accepted: bool = False
-    asked_cancel: bool = False
-    told: str = ""  # the final state its user was told
-    told_at: float = math.inf  # when it was told that it is cancelled
-    accepted_at: float = math.inf  # when its user was first told that it is accepted
-    ended_at: float = math.inf  # when its user was told a final state
+    cancel_requested: bool = False
+    final_state: str = ""  # the final state in an answer to its user
+    cancel_confirmed_at: float = math.inf  # when its cancellation was confirmed to its user
+    accepted_at: float = math.inf  # when an answer first confirmed that it is accepted
+    ended_at: float = math.inf  # when an answer first had a final state
     done: set[int] = field(default_factory=set)
-    answered_at: float = 0.0  # when a poll last succeeded
+    answered_at: float = 0.0  # when a request about it was last answered
     flaw: str = ""  # what the submission lacks, if it was malformed
-    failed_at: float = -math.inf  # when a task of it last failed
-    told_done: list[tuple[float, int]] = field(default_factory=list)  # rising counts, and when
+    failed_at: float = -math.inf  # when one of its tasks last failed
+    done_counts: list[tuple[float, int]] = field(default_factory=list)  # time and count, increasing
 
 
 @dataclass
-class _Live:
+class _RunningTask:
     machine: str
     zone: str
 
@@ -65,103 +67,105 @@
         lease_s: float = math.inf,
         flavors: list[Flavor] | None = None,
     ) -> None:
-        """With `lease_s` every answer that renews a lease is judged by docs/notes/evidence.md.
+        """With `lease_s`, also check every answer that renews a lease (docs/notes/evidence.md).
 
-        With the machine types it is judged too whether what was accepted can ever run.
+        With `flavors`, also check that every accepted job can run on some machine type.
         """
         self.teams = {team.name: team for team in teams}
         self.cancel_s = cancel_s
-        self.known_s = cancel_s - lease_s - c.CONTACT_MARGIN_S
-        self.gone_s = 0.0  # longest from when a user was told of it until a cancelled task was gone
+        self.known_before_s = cancel_s - lease_s - c.CONTACT_MARGIN_S
+        self.gone_s = 0.0  # longest time from a confirmed cancellation to the end of a task
         self.jobs: dict[str, _Job] = {}
-        self.live: dict[tuple[str, int], _Live] = {}
-        self.zones: dict[str, Counter[str]] = {}  # live tasks of a job by zone
-        self.used: dict[str, list[float]] = {}  # CPUs and accelerators of a team
+        self.running: dict[tuple[str, int], _RunningTask] = {}
+        self.zones: dict[str, Counter[str]] = {}  # running tasks of a job by zone
+        self.used: dict[str, list[float]] = {}  # CPUs and accelerators in use, by team
         self.polls: Counter[bool] = Counter()
         self.starts = 0
         self.flavors = flavors
-        self.waits = Waits(self.teams)
-        self.late = LateStarts()
-        self.done_fell = 0  # polls that counted fewer tasks done than one answered before
-        self.calm_at = math.inf  # when the last trouble was over
-        self.silent_s = 0.0  # longest time in that calm without an answer about a job
-        self.broken: list[Broken] = []
-
-    def read(self, rows: Iterable[dict[str, Any]]) -> list[Broken]:
-        """The whole history, in order of time; what is broken."""
+        self.waits = WaitDetector(self.teams)
+        self.late_starts = LateStarts()
+        self.done_fell = 0  # polls that reported fewer done tasks than an earlier answer
+        self.faults_over_at = math.inf  # when the last injected fault was over
+        self.silent_s = 0.0  # longest time after that without an answer about a job
+        self.violations: list[Violation] = []
+
+    def check_history(self, rows: Iterable[dict[str, Any]]) -> list[Violation]:
+        """Check a whole history, sorted by time, and return the violations."""
         at = 0.0
         for row in sorted(rows, key=lambda row: row["at"]):
-            self.see(row)
+            self.record(row)
             at = row["at"]
         return self.finish(at)
 
-    def finish(self, at: float) -> list[Broken]:
-        for name, known in self.jobs.items():
-            if known.accepted and not known.told:
-                self._calm(known, name, at)
-        for job, task in list(self.live):
-            self._not_cancelled(job, task, at)
+    def finish(self, at: float) -> list[Violation]:
+        for name, entry in self.jobs.items():
+            if entry.accepted and not entry.final_state:
+                self._check_unanswered(entry, name, at)
+        for job, task in list(self.running):
+            self._check_cancelled(job, task, at)
         if not self.starts:
-            self._broken("nothing_ran", at, "no task was started")
-        return self.broken
+            self._add_violation("nothing_ran", at, "no task was started")
+        return self.violations
 
-    def _broken(self, rule: str, at: float, text: str) -> None:
-        self.broken.append(Broken(rule, at, text))
+    def _add_violation(self, rule: str, at: float, text: str) -> None:
+        self.violations.append(Violation(rule, at, text))
 
     def _job(self, name: str) -> _Job:
         return self.jobs.setdefault(name, _Job())
 
-    def see(self, row: dict[str, Any]) -> None:
+    def record(self, row: dict[str, Any]) -> None:
         match row["kind"]:
             case "submit":
-                known = self._job(row["job"])
-                known.spec, known.flaw = row["spec"], row.get("flaw", "")
+                entry = self._job(row["job"])
+                entry.spec, entry.flaw = row["spec"], row.get("flaw", "")
             case "on":
                 self._on(row)
             case "off":
                 self._off(row)
             case "cancel":
-                self._job(row["job"]).asked_cancel = True
+                self._job(row["job"]).cancel_requested = True
             case "answer":
                 self._answer(row)
             case "renewed":
                 self._renewed(row)
             case "rooms":
-                self._rooms(row)
+                self._free_capacity(row)
 
     # --- workers -----------------------------------------------------------------------
 
     def _on(self, row: dict[str, Any]) -> None:
         job, task, at = row["job"], row["task"], row["at"]
         self.starts += 1
-        known = self._job(job)
-        there = self.live.get((job, task))
-        if there is not None:
-            where = f"{row['machine']} and {there.machine}"
-            self._broken("ran_twice", at, f"{job}/{task} is on {where}")
+        entry = self._job(job)
+        running = self.running.get((job, task))
+        if running is not None:
+            where = f"{row['machine']} and {running.machine}"
+            self._add_violation("ran_twice", at, f"{job}/{task} is on {where}")
             return
-        spec = known.spec
+        spec = entry.spec
         if spec is None:
-            self._broken("invented", at, f"{job}/{task} runs and was never submitted")
+            self._add_violation("invented", at, f"{job}/{task} runs and was never submitted")
             return
-        self._not_cancelled(job, task, at)
-        if at > known.told_at:
-            self.late.started((job, task, row.get("number", 0)), known.told_at)
+        self._check_cancelled(job, task, at)
+        if at > entry.cancel_confirmed_at:
+            self.late_starts.record_start(
+                (job, task, row.get("number", 0)), entry.cancel_confirmed_at
+            )
         zones = self.zones.setdefault(job, Counter())
-        wrong = ""
+        reason = ""
         if spec.types is not None and row["type"] not in spec.types:
-            wrong = f"on type {row['type']}"
+            reason = f"on type {row['type']}"
         elif spec.zone is not None and spec.zone != row["zone"]:
-            wrong = f"in zone {row['zone']}"
+            reason = f"in zone {row['zone']}"
         elif row["spot"] and not spec.spot:
-            wrong = "on a spot machine"
+            reason = "on a spot machine"
         elif spec.one_zone and any(n and zone != row["zone"] for zone, n in zones.items()):
-            wrong = f"in {row['zone']}, others in {sorted(z for z, n in zones.items() if n)}"
+            reason = f"in {row['zone']}, others in {sorted(z for z, n in zones.items() if n)}"
         elif spec.spread and zones[row["zone"]] + 1 > (spec.tasks + 1) // 2:
-            wrong = f"crowds zone {row['zone']}"
-        if wrong:
-            self._broken("wrong_place", at, f"{job}/{task} {wrong}")
-        self.live[(job, task)] = _Live(row["machine"], row["zone"])
+            reason = f"crowds zone {row['zone']}"
+        if reason:
+            self._add_violation("wrong_place", at, f"{job}/{task} {reason}")
+        self.running[(job, task)] = _RunningTask(row["machine"], row["zone"])
         zones[row["zone"]] += 1
         self._use(spec, 1, at)
 
@@ -173,72 +177,75 @@
         if team is None or sign < 0:
             return
         if team.cpus_max > 0 and used[0] > team.cpus_max + 1e-6:
-            self._broken("quota", at, f"{spec.team} uses {used[0]:g} CPUs of {team.cpus_max:g}")
+            self._add_violation(
+                "quota", at, f"{spec.team} uses {used[0]:g} CPUs of {team.cpus_max:g}"
+            )
         if team.accelerators_max > 0 and used[1] > team.accelerators_max + 1e-6:
-            self._broken("quota", at, f"{spec.team} uses {used[1]:g} accelerators")
+            self._add_violation("quota", at, f"{spec.team} uses {used[1]:g} accelerators")
 
     def _off(self, row: dict[str, Any]) -> None:
         job, task = row["job"], row["task"]
-        known = self._job(job)
-        there = self.live.get((job, task))
+        entry = self._job(job)
+        running = self.running.get((job, task))
         if row["why"] == "done":
-            known.done.add(task)
+            entry.done.add(task)
         elif row["why"] == "error":
-            known.failed_at = row["at"]
-        if there is None or there.machine != row["machine"]:
+            entry.failed_at = row["at"]
+        if running is None or running.machine != row["machine"]:
             return
-        self._not_cancelled(job, task, row["at"])
-        self.gone_s = max(self.gone_s, row["at"] - known.told_at)
-        del self.live[(job, task)]
-        self.zones[job][there.zone] -= 1
-        if known.spec is not None:
-            self._use(known.spec, -1, row["at"])
-
-    def _not_cancelled(self, job: str, task: int, at: float) -> None:
-        since = self._job(job).told_at
+        self._check_cancelled(job, task, row["at"])
+        self.gone_s = max(self.gone_s, row["at"] - entry.cancel_confirmed_at)
+        del self.running[(job, task)]
+        self.zones[job][running.zone] -= 1
+        if entry.spec is not None:
+            self._use(entry.spec, -1, row["at"])
+
+    def _check_cancelled(self, job: str, task: int, at: float) -> None:
+        since = self._job(job).cancel_confirmed_at
         if at > since + self.cancel_s:
-            self._broken(
+            self._add_violation(
                 "ran_cancelled", at, f"{job}/{task} {at - since:.1f} s after its cancellation"
             )
 
     def _renewed(self, row: dict[str, Any]) -> None:
-        """A worker takes an answer to the report that it sent at `sent`, with these orders.
+        """Check the answer that a worker received to its report sent at `sent`.
 
-        Cancellations told early enough before that must be known to whoever answered, and acted on:
-        the lease may else outlive the user's limit. This fails well before a task does.
+        The answering node must know and apply the cancellations confirmed long enough before the
+        report; otherwise the renewed lease may outlast the limit promised to users. This check
+        fails well before a task actually exceeds the limit.
         """
         orders = {(verb, job, task) for verb, job, task in row["orders"]}
-        made = row.get("made", row["at"])
+        created_at = row.get("made", row["at"])
         for job, task, number in row.get("runs", ()):
-            self.late.ran((job, task, number), made, row["at"])
+            self.late_starts.record_run_order((job, task, number), created_at, row["at"])
         for job in row.get("known", ()):
-            self._broken(
+            self._add_violation(
                 "renewed", row["at"], f"{job} is run on {row['machine']} and known to be cancelled"
             )
-        late = row["sent"] - self.known_s - CLOCKS_S
+        confirmed_before = row["sent"] - self.known_before_s - CLOCK_TOLERANCE_S
         runs = [(job, task) for verb, job, task in orders if verb == "run"]
         for job, task in [*row["live"], *runs]:
-            told_at = self._job(job).told_at
-            if told_at < late and ("stop", job, task) not in orders:
-                self._broken(
+            confirmed_at = self._job(job).cancel_confirmed_at
+            if confirmed_at < confirmed_before and ("stop", job, task) not in orders:
+                self._add_violation(
                     "renewed", row["at"],
                     f"{job}/{task} on {row['machine']} is left to run by an answer to a report "
-                    f"{row['sent'] - told_at:.1f} s after its cancellation",
+                    f"{row['sent'] - confirmed_at:.1f} s after its cancellation",
                 )  # fmt: skip
 
-    # --- room --------------------------------------------------------------------------
+    # --- free capacity -----------------------------------------------------------------
 
-    def _rooms(self, row: dict[str, Any]) -> None:
-        """A sample of machines with room, and of the tasks that are placed."""
+    def _free_capacity(self, row: dict[str, Any]) -> None:
+        """Process a sample of the free capacity of machines and of the placed tasks."""
         at = row["at"]
         placed: dict[tuple[str, int], Spec] = {}
         jobs = {
-            name: OpenJob(known.spec, known.done)
-            for name, known in self.jobs.items()
-            if known.spec is not None
-            and known.accepted
-            and not (known.told or known.asked_cancel)
-            and at - known.failed_at > BACKOFF_S
+            name: OpenJob(entry.spec, entry.done)
+            for name, entry in self.jobs.items()
+            if entry.spec is not None
+            and entry.accepted
+            and not (entry.final_state or entry.cancel_requested)
+            and at - entry.failed_at > BACKOFF_S
         }
         for job, task, zone in row["placed"]:
             spec = self._job(job).spec
@@ -247,88 +254,102 @@
             placed[job, task] = spec
             if job in jobs:
                 jobs[job].placed[task] = zone
-        for wait in self.waits.look(at, row["machines"], jobs, placed):
-            self._broken(
+        for wait in self.waits.update(at, row["machines"], jobs, placed):
+            self._add_violation(
                 "waited", at, f"{wait.job} waits {wait.for_s:.0f} s beside room on {wait.machine}"
             )
 
     # --- users -------------------------------------------------------------------------
 
     def _answer(self, row: dict[str, Any]) -> None:
-        """`code` is an HTTP status or 0 for none; `state` what a 200 or 201 said."""
+        """Check an answer: `code` is the HTTP status or 0, `state` the state in a 200 or 201."""
         job, code, at = row["job"], row["code"], row["at"]
-        known = self._job(job)
-        # Asked before its user was told that it is accepted, it may be answered after that.
-        early = code == 404 and row.get("sent", math.inf) <= known.accepted_at
+        entry = self._job(job)
+        # A poll sent before the user's submission was answered may get a late 404.
+        early = code == 404 and row.get("sent", math.inf) <= entry.accepted_at
         if row["to"] == "poll" and not early:
-            self._polled(known, job, code, at)
-        if code in (400, 422) and known.accepted:
-            self._broken("forgotten", at, f"{job} was accepted and now gets {code}")
+            self._polled(entry, job, code, at)
+        if code in (400, 422) and entry.accepted:
+            self._add_violation("forgotten", at, f"{job} was accepted and now gets {code}")
         if code not in (200, 201):
             return
-        if known.flaw:
-            self._broken("accepted_impossible", at, f"{job} gets {code}: {known.flaw}")
+        if entry.flaw:
+            self._add_violation("accepted_impossible", at, f"{job} gets {code}: {entry.flaw}")
             return
-        if known.spec is None:
-            self._broken("invented", at, f"{job} gets {code} and was never submitted")
+        if entry.spec is None:
+            self._add_violation("invented", at, f"{job} gets {code} and was never submitted")
             return
-        self._possible(known, job, at)
-        known.accepted = True
-        known.accepted_at = min(known.accepted_at, at)
-        known.answered_at = max(known.answered_at, at)
+        self._check_possible(entry, job, at)
+        entry.accepted = True
+        entry.accepted_at = min(entry.accepted_at, at)
+        entry.answered_at = max(entry.answered_at, at)
         state = row["state"]
-        # What was asked before that, at the same time as others, may be answered after it.
-        if known.told and state != known.told and row.get("sent", math.inf) > known.ended_at:
-            self._broken("went_back", at, f"{job} was {known.told}, now {state}")
-        if state == "cancelled" and not known.asked_cancel:
-            self._broken("went_back", at, f"{job} is cancelled and nobody asked")
-        self._counted(known, row)
-        missing = known.spec.tasks - len(known.done)
-        if state == "done" and missing and known.told != "done":
-            self._broken("not_done", at, f"{job} is called done, {missing} tasks are not")
+        # A request sent before the final answer was received may get an older state after it.
+        if (
+            entry.final_state
+            and state != entry.final_state
+            and row.get("sent", math.inf) > entry.ended_at
+        ):
+            self._add_violation("went_back", at, f"{job} was {entry.final_state}, now {state}")
+        if state == "cancelled" and not entry.cancel_requested:
+            self._add_violation("went_back", at, f"{job} is cancelled and nobody asked")
+        self._check_done_count(entry, row)
+        missing = entry.spec.tasks - len(entry.done)
+        if state == "done" and missing and entry.final_state != "done":
+            self._add_violation("not_done", at, f"{job} is called done, {missing} tasks are not")
         if state in ("done", "cancelled"):
-            known.told, known.ended_at = state, min(known.ended_at, at)
+            entry.final_state, entry.ended_at = state, min(entry.ended_at, at)
             if state == "cancelled":
-                known.told_at = min(known.told_at, at)
+                entry.cancel_confirmed_at = min(entry.cancel_confirmed_at, at)
 
-    def _possible(self, known: _Job, job: str, at: float) -> None:
-        """Whether what is being accepted can ever run."""
-        if self.flavors is None or known.accepted or known.spec is None:
+    def _check_possible(self, entry: _Job, job: str, at: float) -> None:
+        """Check that a newly accepted job can ever run."""
+        if self.flavors is None or entry.accepted or entry.spec is None:
             return
-        why = why_impossible(known.spec, self.teams, self.flavors)
-        if why:
-            self._broken("accepted_impossible", at, f"{job} is accepted: {why}")
+        reason = why_impossible(entry.spec, self.teams, self.flavors)
+        if reason:
+            self._add_violation("accepted_impossible", at, f"{job} is accepted: {reason}")
+
+    def _check_done_count(self, entry: _Job, row: dict[str, Any]) -> None:
+        """Count a `done` lower than in an answer received before the request was sent.
 
-    def _counted(self, known: _Job, row: dict[str, Any]) -> None:
-        """Counts are for display; one below what was answered before it was asked is noted."""
+        The counts are for display only, so this is not a violation.
+        """
         done = row.get("done")
         if done is None:
             return
-        before = bisect_left(known.told_done, (row.get("sent", math.inf), -1))
-        if before and known.told_done[before - 1][1] > done:
+        before = bisect_left(entry.done_counts, (row.get("sent", math.inf), -1))
+        if before and entry.done_counts[before - 1][1] > done:
             self.done_fell += 1
-        if not known.told_done or done > known.told_done[-1][1]:
-            known.told_done.append((row["at"], done))
-
-    def _calm(self, known: _Job, job: str, at: float) -> None:
-        """However others fare: no question about the job was answered since all is well again."""
-        silent = at - max(known.answered_at, self.calm_at)
-        if silent > CALM_S:
-            self._broken("forgotten", at, f"no answer about {job} for {silent:.0f} s of calm")
-            known.answered_at = at
-
-    def _polled(self, known: _Job, job: str, code: int, at: float) -> None:
-        if code == 404 and known.accepted:
-            self._broken("forgotten", at, f"{job} was accepted and now gets 404")
-        good = code in (200, 404)
-        if known.accepted and at > self.calm_at:
-            silent = at - max(known.answered_at, self.calm_at)
+        if not entry.done_counts or done > entry.done_counts[-1][1]:
+            entry.done_counts.append((row["at"], done))
+
+    def _check_unanswered(self, entry: _Job, job: str, at: float) -> None:
+        """Check that requests about the job were answered since the last injected fault.
+
+        Unlike FORGOTTEN_S, this holds even if requests about other jobs fail too.
+        """
+        silent = at - max(entry.answered_at, self.faults_over_at)
+        if silent > UNANSWERED_S:
+            self._add_violation(
+                "forgotten", at, f"no answer about {job} for {silent:.0f} s of calm"
+            )
+            entry.answered_at = at
+
+    def _polled(self, entry: _Job, job: str, code: int, at: float) -> None:
+        if code == 404 and entry.accepted:
+            self._add_violation("forgotten", at, f"{job} was accepted and now gets 404")
+        answered = code in (200, 404)
+        if entry.accepted and at > self.faults_over_at:
+            silent = at - max(entry.answered_at, self.faults_over_at)
             self.silent_s = max(self.silent_s, silent)
-        if not good and known.accepted:
-            self._calm(known, job, at)
-        self.polls[good] += 1
-        if good or not known.answered_at:
-            known.answered_at = at
-        elif at - known.answered_at > FORGOTTEN_S and self.polls[True] > self.polls[False]:
-            self._broken("forgotten", at, f"no poll for {job} for {at - known.answered_at:.0f} s")
-            known.answered_at = at
+        if not answered and entry.accepted:
+            self._check_unanswered(entry, job, at)
+        self.polls[answered] += 1
+        if answered or not entry.answered_at:
+            entry.answered_at = at
+        elif at - entry.answered_at > FORGOTTEN_S and self.polls[True] > self.polls[False]:
+            self._add_violation(
+                "forgotten", at, f"no poll for {job} for {at - entry.answered_at:.0f} s"
+            )
+            entry.answered_at = at
--- a/coveflow/lab/cloud.py
+++ b/coveflow/lab/cloud.py
@@ -1,4 +1,7 @@
-"""The cloud's model: types, capacity, rentals by name, boots, a list that lags, spot prices."""
+"""Model of the cloud: machine types, capacity, idempotent rentals, boot times and spot prices.
+
+Its listing lags behind the true state.
+"""
 
 from __future__ import annotations
 
@@ -13,8 +16,8 @@
 
 INF = math.inf
 Key = tuple[str, str, bool]  # type, zone, spot
-LEAST_PAID_S = 60.0  # s that a returned machine costs at the least
-DEAD_LISTED_S = 30.0  # s for which a dead machine is listed as running
+MIN_CHARGED_S = 60.0  # minimum time charged for a returned machine
+FAILED_LISTED_S = 30.0  # how long a failed machine is still listed as running
 
 
 @dataclass
@@ -25,7 +28,7 @@
     zone: str
     spot: bool
     rented: float
-    up: float  # when its worker begins; INF: never
+    up: float  # when its worker starts; INF: never
     failed: float = INF
     gone: float = INF
     slow: float = 1.0
@@ -33,8 +36,8 @@
 
 
 @dataclass
-class Known:
-    """What is known of the next machine of a kind; None is drawn."""
+class FixedProperties:
+    """Fixed properties of the next machine of a kind; those that are None are drawn at random."""
 
     name: str | None = None
     boot_s: float | None = None
@@ -43,21 +46,21 @@
 
 
 @dataclass
-class Boots:
-    """How machines come up; parts are shares of all, times are of the type's nominal boot."""
+class BootTimes:
+    """Distribution of boot times: bounds relative to the type's nominal time, and shares."""
 
     least: float = 0.6
     most: float = 1.5
-    quick: float = 0.02  # up within a second or two
-    late: float = 0.02  # several times as long
-    never: float = 0.01
+    quick: float = 0.02  # share that boots within 0.5 to 2 s
+    late: float = 0.02  # share that takes 2.5 to 5 times as long
+    never: float = 0.01  # share that never boots
 
 
 class Cloud:
-    """`capacity` counts machines by (type, zone, spot); what is not named has none.
+    """`capacity` is the number of machines by (type, zone, spot); a missing key means none.
 
-    `spread` is how far machines of one type differ in speed. Money is what was paid, by the
-    second, at the prices of the moment.
+    `spread` is the relative range of speeds among machines of one type. Machines are charged by
+    the second, at the price at the time of payment.
     """
 
     def __init__(
@@ -66,33 +69,33 @@
         capacity: dict[Key, int],
         lag_s: float,
         seed: int,
-        boots: Boots | None = None,
+        boots: BootTimes | None = None,
         spread: float = 0.05,
-        recorded: Callable[[Key], Known | None] = lambda key: None,
+        recorded: Callable[[Key], FixedProperties | None] = lambda key: None,
         names: str = "n",
     ) -> None:
         self.flavors = {f.name: f for f in flavors}
         self.capacity, self.lag_s = dict(capacity), lag_s
         self.rng = np.random.default_rng([seed, 77])
-        self.boots, self.spread, self.recorded = boots or Boots(), spread, recorded
+        self.boots, self.spread, self.recorded = boots or BootTimes(), spread, recorded
         self.hosts: dict[str, Host] = {}
         self.rentals: dict[str, list[str]] = {}
         self.used: dict[Key, int] = {}
-        self.awaited: dict[Key, int] = {}  # machines that are there and begin later
+        self.reserved: dict[Key, int] = {}  # places reserved for machines that are added later
         self.next = 1
         self.prefix = names
-        self.price_part = 1.0  # of the nominal spot price just now
+        self.spot_price_factor = 1.0  # current spot price divided by the nominal one
         self.paid = 0.0
         self.refusals = 0
         self.on_rent: Callable[[Host], None] = lambda host: None
         self.on_gone: Callable[[Host, float], None] = lambda host, now: None
 
     def drift(self) -> None:
-        """Spot prices move by up to a third around the nominal price."""
+        """Move the spot prices a random step, within a third of the nominal price."""
         step = self.rng.normal(0.0, 0.05)
-        self.price_part = float(np.clip(self.price_part + step, 2 / 3, 4 / 3))
+        self.spot_price_factor = float(np.clip(self.spot_price_factor + step, 2 / 3, 4 / 3))
 
-    def priced(self) -> list[Flavor]:
+    def current_flavors(self) -> list[Flavor]:
         return [
             Flavor(
                 f.name,
@@ -102,7 +105,7 @@
                 f.cache_gb,
                 f.fetch_gb_per_s,
                 f.price,
-                f.spot_price * self.price_part,
+                f.spot_price * self.spot_price_factor,
                 f.boot_s,
                 f.zones,
             )
@@ -112,7 +115,7 @@
     def rent(
         self, rental: str, flavor: str, zone: str, spot: bool, number: int, now: float
     ) -> list[str]:
-        """Names of what was rented, the same for the same request; empty: no capacity."""
+        """Names of the rented machines, the same for a repeated request; empty: no capacity."""
         if rental in self.rentals:
             return self.rentals[rental]
         key = (flavor, zone, spot)
@@ -121,20 +124,20 @@
         if flavor not in self.flavors or count <= 0:
             self.refusals += 1
             return []
-        names = [self._new(key, now).name for _ in range(count)]
+        names = [self._add_host(key, now).name for _ in range(count)]
         self.rentals[rental] = names
         return names
 
-    def _new(
+    def _add_host(
         self,
         key: Key,
         now: float,
         up: float | None = None,
-        known: Known | None = None,
-        kept: bool = False,
+        known: FixedProperties | None = None,
+        reserved: bool = False,
     ) -> Host:
         flavor = self.flavors[key[0]]
-        known = known or self.recorded(key) or Known()
+        known = known or self.recorded(key) or FixedProperties()
         name = known.name
         if name is None:
             name = f"{self.prefix}-{self.next:06d}"
@@ -147,8 +150,8 @@
         if up is None:
             host.up = now + (self._boot(flavor.boot_s) if known.boot_s is None else known.boot_s)
         self.hosts[name] = host
-        if kept:
-            self.awaited[key] -= 1
+        if reserved:
+            self.reserved[key] -= 1
         else:
             self.used[key] = self.used.get(key, 0) + 1
         self.on_rent(host)
@@ -165,42 +168,42 @@
             return float(self.rng.uniform(0.5, 2.0))
         return length
 
-    def begin(self, flavor: str, zone: str, spot: bool, count: int, now: float) -> None:
-        """Machines that are up from the start."""
+    def start_machines(self, flavor: str, zone: str, spot: bool, count: int, now: float) -> None:
+        """Add machines that are up immediately."""
         for _ in range(count):
-            self._new((flavor, zone, spot), now, up=now)
+            self._add_host((flavor, zone, spot), now, up=now)
 
-    def keep(self, key: Key) -> None:
-        """Room for a machine that is there already and will be told of by `there`."""
+    def reserve_place(self, key: Key) -> None:
+        """Reserve capacity for an existing machine that `add_machine` adds later."""
         self.used[key] = self.used.get(key, 0) + 1
-        self.awaited[key] = self.awaited.get(key, 0) + 1
+        self.reserved[key] = self.reserved.get(key, 0) + 1
 
-    def there(self, key: Key, known: Known, now: float) -> None:
-        """One known machine that is up from now on; it takes a kept place if there is one."""
-        self._new(key, now, up=now, known=known, kept=self.awaited.get(key, 0) > 0)
+    def add_machine(self, key: Key, known: FixedProperties, now: float) -> None:
+        """Add a machine that is up from now on; it uses a reserved place if there is one."""
+        self._add_host(key, now, up=now, known=known, reserved=self.reserved.get(key, 0) > 0)
 
-    def give_back(self, names: list[str], now: float) -> None:
-        """The machines and everything on them are gone when this returns."""
+    def return_machines(self, names: list[str], now: float) -> None:
+        """Return machines to the cloud; they and their tasks are gone when this returns."""
         for name in names:
             host = self.hosts.get(name)
             if host is not None and host.gone == INF:
-                self._end(host, now, max(min(host.failed, now) - host.rented, LEAST_PAID_S))
+                self._end(host, now, max(min(host.failed, now) - host.rented, MIN_CHARGED_S))
 
     def fail(self, name: str, now: float) -> None:
-        """The machine stops by itself; it is not charged any more, and listed until returned."""
+        """The machine fails; it is no longer charged, but stays listed until it is returned."""
         host = self.hosts[name]
         if host.gone == INF and host.failed == INF:
             host.failed = now
             self.on_gone(host, now)
 
-    def take(self, name: str, now: float) -> None:
-        """The cloud takes a spot machine back."""
+    def reclaim(self, name: str, now: float) -> None:
+        """The cloud reclaims a spot machine."""
         host = self.hosts[name]
         if host.gone == INF:
             self._end(host, now, min(host.failed, now) - host.rented)
 
     def _end(self, host: Host, now: float, paid_s: float) -> None:
-        part = self.price_part if host.spot else 1.0
+        part = self.spot_price_factor if host.spot else 1.0
         self.paid += host.flavor.rate(host.spot) * part * paid_s / 3600
         host.gone = now
         key = (host.flavor.name, host.zone, host.spot)
@@ -208,26 +211,26 @@
         self.on_gone(host, now)
 
     def spent(self, now: float) -> float:
-        """Money until now, in the unit of the hourly prices."""
-        there = sum(
-            h.flavor.rate(h.spot) * (self.price_part if h.spot else 1.0)
+        """Total cost so far, in the unit of the hourly prices."""
+        running_cost = sum(
+            h.flavor.rate(h.spot) * (self.spot_price_factor if h.spot else 1.0)
             * (min(h.failed, now) - h.rented) / 3600
             for h in self.hosts.values() if h.gone == INF
         )  # fmt: skip
-        return self.paid + there
+        return self.paid + running_cost
 
     def list(self, after: str, most: int, now: float) -> tuple[list[ListedMachine], bool]:
-        """The machines as they were some lag ago, in the order of their names."""
-        then = now - float(self.rng.uniform(self.lag_s, 2 * self.lag_s))
+        """A page of the machines as of one to two lags ago, in the order of their names."""
+        as_of = now - float(self.rng.uniform(self.lag_s, 2 * self.lag_s))
         rows = []
         for name, host in self.hosts.items():
-            if name <= after or host.rented > then or host.gone <= then:
+            if name <= after or host.rented > as_of or host.gone <= as_of:
                 continue
-            state = "starting" if then < host.up else "running"
-            if host.failed + DEAD_LISTED_S <= then:
+            state = "starting" if as_of < host.up else "running"
+            if host.failed + FAILED_LISTED_S <= as_of:
                 state = "failed"
             rows.append(
                 ListedMachine(name, host.address, host.flavor.name, host.zone, host.spot, state,
-                       then - host.rented)
+                       as_of - host.rented)
             )  # fmt: skip
         return rows[:most], len(rows) > most
--- a/coveflow/lab/cluster.py
+++ b/coveflow/lab/cluster.py
@@ -23,8 +23,8 @@
 from coveflow import forms, wire
 from coveflow.core.model import Spec
 from coveflow.lab import site as sites
-from coveflow.lab.check import Broken, Checker
-from coveflow.lab.runner import with_its_parent
+from coveflow.lab.check import Checker, Violation
+from coveflow.lab.runner import kill_with_parent
 
 LOCAL = "127.0.0.1"
 READY_S = 20.0  # s within which all controllers must be healthy
@@ -220,7 +220,7 @@
                 stderr=log,
                 stdin=asyncio.subprocess.DEVNULL,
                 env=os.environ | {"LOG_LEVEL": self.log_level},
-                preexec_fn=with_its_parent,
+                preexec_fn=kill_with_parent,
             )
 
     async def _keep(self, child: Child) -> None:
@@ -315,11 +315,11 @@
                 row["spec"] = msgspec.convert(row["spec"], Spec)
         return sorted(rows, key=lambda row: row["at"])
 
-    def check(self, rows: list[dict[str, Any]]) -> list[Broken]:
-        return Checker(self.site.teams, self.site.workers["cancel-s"]).read(rows)
+    def check(self, rows: list[dict[str, Any]]) -> list[Violation]:
+        return Checker(self.site.teams, self.site.workers["cancel-s"]).check_history(rows)
 
 
-def judge(folder: Path) -> list[Broken]:
+def judge(folder: Path) -> list[Violation]:
     """The rules that the history kept in a lab's folder breaks. Raises LabError without one."""
     rows: list[dict[str, Any]] = []
     try:
@@ -332,7 +332,7 @@
     for row in rows:
         if "spec" in row:
             row["spec"] = msgspec.convert(row["spec"], Spec)
-    return Checker(site.teams, site.workers["cancel-s"]).read(rows)
+    return Checker(site.teams, site.workers["cancel-s"]).check_history(rows)
 
 
 async def _healthy(session: aiohttp.ClientSession, node: str) -> bool:
--- a/coveflow/lab/evening.py
+++ b/coveflow/lab/evening.py
@@ -16,7 +16,7 @@
 from coveflow.client import Client, RequestRejected, RetriesExhausted
 from coveflow.core.model import Spec
 from coveflow.lab import faults as fl
-from coveflow.lab.check import Broken
+from coveflow.lab.check import Violation
 from coveflow.lab.cluster import Cluster
 
 clock = time.monotonic
@@ -137,7 +137,7 @@
             for row in self.rows:
                 out.write(json.dumps(row, default=msgspec.to_builtins) + "\n")
 
-    def broken(self) -> list[Broken]:
+    def broken(self) -> list[Violation]:
         """What the checker makes of the whole history."""
         return self.cluster.check(self.cluster.history(self.rows))
 
--- a/coveflow/lab/free_capacity.py
+++ b/coveflow/lab/free_capacity.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Any
 
 from coveflow.lab.truth import INF
-from coveflow.lab.waits import MachineRoom
+from coveflow.lab.waits import FreeCapacity
 from coveflow.lab.worker import Worker
 
 if TYPE_CHECKING:
@@ -16,10 +16,10 @@
 
 def watch(world: World, calm_at: float) -> None:
     """Has the checker judge from `calm_at` on whether jobs wait despite free capacity."""
-    world.checker.waits.calm_at = calm_at
+    world.checker.waits.faults_over_at = calm_at
 
     def sample() -> None:
-        world.checker.see(row(world))
+        world.checker.record(row(world))
         world.at(world.now + EVERY_S, sample)
 
     world.at(world.now + EVERY_S, sample)
@@ -44,16 +44,16 @@
     return (
         worker.hung_at is None
         and not worker.sick
-        and worker.taken_at == INF
+        and worker.reclaim_at == INF
         and all(table.get(worker.name, (0.0, 0.0))[1] <= world.now for table in unreachable)
     )
 
 
-def room(worker: Worker) -> MachineRoom:
+def room(worker: Worker) -> FreeCapacity:
     """Capacity left by the machine's tasks, including those that wait for their image."""
     specs = [worker.truth.specs[a.job] for a in worker.tasks.values() if a.state != "exited"]
     flavor = worker.flavor
-    return MachineRoom(
+    return FreeCapacity(
         worker.name, flavor.name, worker.zone, worker.spot,
         flavor.cpus - sum(spec.cpus for spec in specs),
         flavor.accelerators - sum(spec.accelerators for spec in specs),
--- a/coveflow/lab/links.py
+++ b/coveflow/lab/links.py
@@ -1,4 +1,4 @@
-"""Relays between the lab's processes: cuts, delays, refusals and messages held back."""
+"""TCP relays between the lab's processes, which inject cuts, delays and refused connections."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 @dataclass
 class Link:
-    """One side's way to another: listens on a port of its own and passes on what comes.
+    """A one-way relay: listens on its own port and forwards connections to the target.
 
-    Modes: `open`; `hold` (silent, what was sent arrives after the cut, in order); `reset`
-    (connections break, new ones hang); `refuse` (new connections are refused).
+    Modes: `open`; `hold` (data is buffered and delivered in order after the cut); `reset`
+    (connections are aborted, new ones hang); `refuse` (connections are aborted, new ones refused).
     """
 
     name: str
@@ -25,21 +25,21 @@
     server: asyncio.Server | None = None
     writers: set[asyncio.StreamWriter] = field(default_factory=set)
     tasks: set[asyncio.Task[None]] = field(default_factory=set)
-    passable: asyncio.Event = field(default_factory=asyncio.Event)
+    is_open: asyncio.Event = field(default_factory=asyncio.Event)
 
     async def start(self) -> None:
         if self.mode == "open":
-            self.passable.set()
+            self.is_open.set()
         self.server = await asyncio.start_server(self._connected, "127.0.0.1", self.port)
         self.port = self.server.sockets[0].getsockname()[1]
 
-    async def set(self, mode: str, delay_s: float = 0.0) -> None:
-        was, self.mode, self.delay_s = self.mode, mode, delay_s
+    async def set_mode(self, mode: str, delay_s: float = 0.0) -> None:
+        previous, self.mode, self.delay_s = self.mode, mode, delay_s
         if mode == "open":
-            self.passable.set()
+            self.is_open.set()
         else:
-            self.passable.clear()
-        if mode in ("reset", "refuse") and was not in ("reset", "refuse"):
+            self.is_open.clear()
+        if mode in ("reset", "refuse") and previous not in ("reset", "refuse"):
             for writer in list(self.writers):
                 writer.transport.abort()
         if mode == "refuse" and self.server is not None:
@@ -59,16 +59,18 @@
         assert task is not None
         self.tasks.add(task)
         self.writers.add(writer)
-        out = None
+        target_writer = None
         try:
-            await self.passable.wait()
-            there, out = await asyncio.open_connection(*self.target)
-            self.writers.add(out)
-            await asyncio.gather(self._pump(reader, out), self._pump(there, writer))
+            await self.is_open.wait()
+            target_reader, target_writer = await asyncio.open_connection(*self.target)
+            self.writers.add(target_writer)
+            await asyncio.gather(
+                self._pump(reader, target_writer), self._pump(target_reader, writer)
+            )
         except (OSError, asyncio.CancelledError):
-            pass  # an end of the connection is passed on below
+            pass  # the connection is closed on both sides below
         finally:
-            for end in (writer, out):
+            for end in (writer, target_writer):
                 if end is not None:
                     self.writers.discard(end)
                     end.close()
@@ -78,7 +80,7 @@
         while data := await reader.read(CHUNK):
             if self.delay_s:
                 await asyncio.sleep(self.delay_s)
-            await self.passable.wait()
+            await self.is_open.wait()
             writer.write(data)
             await writer.drain()
         with contextlib.suppress(OSError, RuntimeError):
--- a/coveflow/lab/prefilled_store.py
+++ b/coveflow/lab/prefilled_store.py
@@ -64,5 +64,5 @@
 
 def _page(store: Store, node: str, number: int, rows: list) -> None:
     store.rev += 1
-    store.dropped = store.rev
+    store.compacted_rev = store.rev
     store.rows[ledger.page_key(node, number)] = Row({"rows": rows}, store.rev)
--- a/coveflow/lab/replies.py
+++ b/coveflow/lab/replies.py
@@ -1,4 +1,4 @@
-"""Answers to reports where there is no event loop."""
+"""Replacement for the future of a report's answer where no event loop runs."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 
 class Reply:
-    """What a report's future is to the daemon, without an event loop."""
+    """Implements the part of `asyncio.Future` that the daemon uses; calls `then` on the result."""
 
-    __slots__ = ("answered", "then")
+    __slots__ = ("answered", "callback")
 
     def __init__(self, then: Callable[[Any], None]) -> None:
-        self.answered, self.then = False, then
+        self.answered, self.callback = False, then
 
     def done(self) -> bool:
         return self.answered
 
     def set_result(self, value: Any) -> None:
         self.answered = True
-        self.then(value)
+        self.callback(value)
--- a/coveflow/lab/runner.py
+++ b/coveflow/lab/runner.py
@@ -1,9 +1,9 @@
-"""Task documents as ordinary child processes, in a directory of the task's own.
+"""Runs task documents as ordinary child processes, each in its own directory.
 
-No isolation: a task runs as the lab does and could read what the lab can. Paths of the document are
-laid below the task's directory, and where they occur in commands and variables they are replaced by
-where they really are. Urls are files of this machine. What a task wrote travels back as a TaskLog:
-exit codes and times of all executors, and tails of their output within bounds, told where cut.
+There is no isolation: a task runs with the permissions of the lab. The paths of the document are
+mapped below the task's directory and are replaced by the real paths in commands and environment
+variables. URLs name files of this machine. The result is a TaskLog with the exit codes and times of
+all executors and the bounded tails of their output, marked where they are cut.
 """
 
 from __future__ import annotations
@@ -28,48 +28,50 @@
 from coveflow.tes import models as tm
 from coveflow.wire import runner as wr
 
-TAIL_BYTES = 10 * 1024  # of each stream of an executor that is told
-LOG_BYTES = 40 * 1024  # of a whole log as it is sent, packed; the controllers' limit is 64 KiB
-WALKED_MOST = 10_000  # files of one output directory
+TAIL_BYTES = 10 * 1024  # logged from the end of each output stream of an executor
+LOG_BYTES = 40 * 1024  # limit of a whole log as encoded for sending; the controllers allow 64 KiB
+OUTPUT_FILES_MAX = 10_000  # maximum number of files of one output directory
 CHUNK = 64 * 1024
 PR_SET_PDEATHSIG = 1
 
 
-def with_its_parent() -> None:
-    """The kernel ends this process when the one that started it ends, however that happens."""
+def kill_with_parent() -> None:
+    """Make the kernel kill this process when its parent ends for any reason."""
     with contextlib.suppress(OSError, AttributeError):
         ctypes.CDLL(None, use_errno=True).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
-class Unfit(Exception):
-    """The task cannot be laid out or collected; no executor's fault, and no machine's."""
+class StagingError(Exception):
+    """Inputs can't be staged or outputs can't be collected; a fault of the task's document."""
 
 
 @dataclass
 class Tail:
-    """The last bytes of a stream, and how many there were."""
+    """The last bytes of a stream, and its total length."""
 
-    most: int = TAIL_BYTES
+    max_bytes: int = TAIL_BYTES
     data: bytearray = field(default_factory=bytearray)
-    seen: int = 0
+    total: int = 0
 
     def add(self, chunk: bytes) -> None:
-        self.seen += len(chunk)
+        self.total += len(chunk)
         self.data += chunk
-        if len(self.data) > 2 * self.most:
-            del self.data[: -self.most]
+        if len(self.data) > 2 * self.max_bytes:
+            del self.data[: -self.max_bytes]
 
     def text(self, most: int) -> str | None:
-        if not self.seen:
+        if not self.total:
             return None
         kept = bytes(self.data[-most:]) if most else b""
-        cut = self.seen - len(kept)
+        cut = self.total - len(kept)
         shown = kept.decode("utf-8", "replace").replace("\0", "\\0")
         return f"[{cut} bytes cut]\n{shown}" if cut else shown
 
 
 @dataclass
-class Ran:
+class ExecutorResult:
+    """The result of one executor."""
+
     code: int
     start: str
     end: str
@@ -81,8 +83,8 @@
     return datetime.now(UTC).isoformat(timespec="milliseconds").replace("+00:00", "Z")
 
 
-class Run:
-    """One attempt at a task. `go` runs it to its end; `kill` ends all its processes."""
+class TaskRun:
+    """One attempt of a task. `execute` runs it to its end; `kill` kills all its processes."""
 
     def __init__(
         self, job: str, task: int, document: tm.Document, folder: Path, images: dict[str, str],
@@ -94,11 +96,11 @@
         self.killed = False
         self.notes: list[str] = []
         paths = [tm.normalize_path(p) for p in self._paths()]
-        # The longest first: one path may be inside another.
+        # Longest first, since one path may be inside another.
         paths = sorted(dict.fromkeys(paths), key=len, reverse=True)
-        # A path stands for itself where no longer word goes on around it.
-        either = "|".join(re.escape(path) for path in paths)
-        self.pattern = re.compile(rf"(?<![\w./-])(?:{either})(?![\w.-])") if paths else None
+        # Matches a path only if it is not part of a longer path or name.
+        alternatives = "|".join(re.escape(path) for path in paths)
+        self.pattern = re.compile(rf"(?<![\w./-])(?:{alternatives})(?![\w.-])") if paths else None
 
     def _paths(self) -> list[str]:
         d = self.document
@@ -109,78 +111,78 @@
             found += [p for p in (e.workdir, e.stdin, e.stdout, e.stderr) if p]
         return found
 
-    def real(self, path: str) -> Path:
+    def real_path(self, path: str) -> Path:
         return self.root / tm.normalize_path(path).lstrip("/")
 
-    def _word(self, word: str) -> str:
-        """A word of a command with the document's paths where they really are."""
+    def _replace_paths(self, word: str) -> str:
+        """Replace the document's paths in a command's argument by the real ones."""
         if self.pattern is None:
             return word
-        return self.pattern.sub(lambda found: str(self.real(found[0])), word)
+        return self.pattern.sub(lambda found: str(self.real_path(found[0])), word)
 
-    # --- laying out ----------------------------------------------------------------------
+    # --- staging inputs ------------------------------------------------------------------
 
-    def lay_out(self) -> None:
-        """Make the directory with inputs and volumes in it. Raises Unfit."""
+    def stage_inputs(self) -> None:
+        """Create the task's directory with its inputs and volumes. Raises StagingError."""
         try:
             self.root.mkdir(parents=True)
             for volume in self.document.volumes or ():
-                self.real(volume).mkdir(parents=True, exist_ok=True)
+                self.real_path(volume).mkdir(parents=True, exist_ok=True)
             for item in self.document.inputs or ():
-                self._input(item)
+                self._stage_input(item)
             for e in self.document.executors:
                 for path in (e.stdout, e.stderr):
                     if path:
-                        self.real(path).parent.mkdir(parents=True, exist_ok=True)
+                        self.real_path(path).parent.mkdir(parents=True, exist_ok=True)
                 if e.workdir:
-                    self.real(e.workdir).mkdir(parents=True, exist_ok=True)
+                    self.real_path(e.workdir).mkdir(parents=True, exist_ok=True)
             for o in self.document.outputs or ():
-                self.real(o.path_prefix or o.path).parent.mkdir(parents=True, exist_ok=True)
+                self.real_path(o.path_prefix or o.path).parent.mkdir(parents=True, exist_ok=True)
         except OSError as error:
-            raise Unfit(f"the task could not be laid out: {error}") from error
+            raise StagingError(f"the task's inputs could not be staged: {error}") from error
 
-    def _input(self, item: tm.Input) -> None:
-        target = self.real(item.path)
+    def _stage_input(self, item: tm.Input) -> None:
+        target = self.real_path(item.path)
         target.parent.mkdir(parents=True, exist_ok=True)
         if item.content is not None:
             target.write_text(item.content, encoding="utf-8")
             return
-        source = local(item.url or "")
+        source = local_path(item.url or "")
         if item.type == tm.FileType.DIRECTORY:
             if not source.is_dir():
-                raise Unfit(f"input {item.url} is no directory")
-            # Links are copied as they are: one that leads round in a circle is never followed.
+                raise StagingError(f"input {item.url} is not a directory")
+            # Symlinks are copied as links, so that a cycle of them is never followed.
             shutil.copytree(source, target, symlinks=True, dirs_exist_ok=True)
         else:
             if not source.is_file():
-                raise Unfit(f"input {item.url} is not there")
+                raise StagingError(f"input {item.url} does not exist")
             shutil.copyfile(source, target)
 
     # --- executors -----------------------------------------------------------------------
 
-    async def go(self) -> wr.TaskResult:
-        """Lay out, run the executors in their order, collect; how it ended."""
+    async def execute(self) -> wr.TaskResult:
+        """Stage the inputs, run the executors in order and collect the outputs."""
         start = now()
-        ran: list[Ran] = []
+        ran: list[ExecutorResult] = []
         outputs: list[tm.OutputFileLog] = []
         code, system = 0, False
         try:
-            await asyncio.to_thread(self.lay_out)
+            await asyncio.to_thread(self.stage_inputs)
             for executor in self.document.executors:
-                ran.append(await self._execute(executor))
+                ran.append(await self._run_executor(executor))
                 if ran[-1].code != 0 and not executor.ignore_error:
                     code = ran[-1].code
                     break
             else:
                 outputs = await asyncio.to_thread(self.collect)
-        except Unfit as error:
+        except StagingError as error:
             self.notes.append(str(error))
             system = True
         log = self._log(start, ran, outputs)
         return wr.TaskResult(self.job, self.task, code, system, log)
 
-    async def _execute(self, e: tm.Executor) -> Ran:
-        command = [self._word(word) for word in e.command]
+    async def _run_executor(self, e: tm.Executor) -> ExecutorResult:
+        command = [self._replace_paths(word) for word in e.command]
         if e.image in self.images:
             command.insert(0, self.images[e.image])
         env = {
@@ -188,24 +190,24 @@
             "TMPDIR": str(self.root), "COVEFLOW_JOB": self.job, "COVEFLOW_RANK": str(self.task),
             "COVEFLOW_SIZE": str(self.size),
         }  # fmt: skip
-        env |= {k: self._word(v) for k, v in (e.env or {}).items()}
-        ran = Ran(0, now(), "", Tail(), Tail())
+        env |= {k: self._replace_paths(v) for k, v in (e.env or {}).items()}
+        ran = ExecutorResult(0, now(), "", Tail(), Tail())
         files = contextlib.ExitStack()
         with files:
             try:
-                stdin = files.enter_context(self.real(e.stdin).open("rb")) if e.stdin else None
+                stdin = files.enter_context(self.real_path(e.stdin).open("rb")) if e.stdin else None
                 sinks = [
-                    files.enter_context(self.real(p).open("wb")) if p else None
+                    files.enter_context(self.real_path(p).open("wb")) if p else None
                     for p in (e.stdout, e.stderr)
                 ]
             except OSError as error:
-                raise Unfit(f"executor's files: {error}") from error
+                raise StagingError(f"can't open an executor's files: {error}") from error
             try:
                 self.process = await asyncio.create_subprocess_exec(
-                    *command, cwd=self.real(e.workdir) if e.workdir else self.root, env=env,
+                    *command, cwd=self.real_path(e.workdir) if e.workdir else self.root, env=env,
                     stdin=stdin or asyncio.subprocess.DEVNULL, stdout=asyncio.subprocess.PIPE,
                     stderr=asyncio.subprocess.PIPE, start_new_session=True,
-                    preexec_fn=with_its_parent,
+                    preexec_fn=kill_with_parent,
                 )  # fmt: skip
             except (OSError, ValueError) as error:
                 ran.err.add(f"{command[0]}: {error}".encode())
@@ -224,58 +226,60 @@
         return ran
 
     def kill(self) -> None:
-        """End the whole group of the process that runs, and let none begin after it."""
+        """Kill the process group of the running executor; later ones are killed at their start."""
         self.killed = True
         if self.process is not None and self.process.returncode is None:
             with contextlib.suppress(ProcessLookupError, PermissionError):
                 os.killpg(self.process.pid, signal.SIGKILL)
 
-    # --- collecting ----------------------------------------------------------------------
+    # --- collecting outputs --------------------------------------------------------------
 
     def collect(self) -> list[tm.OutputFileLog]:
-        """Copy outputs to their urls, each whole or not at all. Raises Unfit."""
+        """Copy the outputs to their URLs, each file atomically. Raises StagingError."""
         found: list[tm.OutputFileLog] = []
         try:
             for item in self.document.outputs or ():
-                found += self._output(item)
+                found += self._collect_output(item)
         except OSError as error:
-            raise Unfit(f"an output could not be kept: {error}") from error
+            raise StagingError(f"an output could not be stored: {error}") from error
         return found
 
-    def _output(self, item: tm.Output) -> list[tm.OutputFileLog]:
-        target = local(item.url)
+    def _collect_output(self, item: tm.Output) -> list[tm.OutputFileLog]:
+        target = local_path(item.url)
         if tm.WILDCARD.search(item.path):
             prefix = tm.normalize_path(item.path_prefix or "/")
             rows = [
                 (path, target / posixpath.relpath(inside, prefix), inside)
-                for path, inside in self._files(self.real(prefix), prefix)
+                for path, inside in self._files(self.real_path(prefix), prefix)
                 if fnmatch.fnmatchcase(inside, tm.normalize_path(item.path))
             ]
             if not rows:
                 self.notes.append(f"output {item.path} matched nothing")
         elif item.type == tm.FileType.DIRECTORY:
-            source = self.real(item.path)
+            source = self.real_path(item.path)
             if not source.is_dir():
-                raise Unfit(f"output {item.path} is no directory")
+                raise StagingError(f"output {item.path} is not a directory")
             base = tm.normalize_path(item.path)
             rows = [
                 (path, target / posixpath.relpath(inside, base), inside)
                 for path, inside in self._files(source, base)
             ]
         else:
-            source = self.real(item.path)
+            source = self.real_path(item.path)
             if not self._inside(source) or not source.is_file():
-                raise Unfit(f"output {item.path} was not made")
+                raise StagingError(f"output {item.path} was not created")
             rows = [(source, target, item.path)]
-        return [self._keep(source, to, inside) for source, to, inside in sorted(rows)]
+        return [self._store_file(source, to, inside) for source, to, inside in sorted(rows)]
 
     def _inside(self, path: Path) -> bool:
-        """Whether it is in the task's own directory, wherever links lead."""
+        """Whether the path is inside the task's directory after symlinks are resolved."""
         return Path(os.path.realpath(path)).is_relative_to(os.path.realpath(self.root))
 
     def _files(self, top: Path, inside: str) -> list[tuple[Path, str]]:
-        """Files below a directory and their paths as the document has them; links to directories
-        are not followed, so a circle of them ends nowhere."""
+        """Files below a directory, with their paths in the document.
+
+        Symlinks to directories are not followed, so that a cycle of them can't loop.
+        """
         found: list[tuple[Path, str]] = []
         for folder, _, names in os.walk(top, followlinks=False):
             for name in sorted(names):
@@ -285,11 +289,11 @@
                     self.notes.append(f"{relative} leads out of the task's directory; left out")
                     continue
                 found.append((path, relative))
-                if len(found) > WALKED_MOST:
-                    raise Unfit(f"output {inside} holds more than {WALKED_MOST} files")
+                if len(found) > OUTPUT_FILES_MAX:
+                    raise StagingError(f"output {inside} has more than {OUTPUT_FILES_MAX} files")
         return found
 
-    def _keep(self, source: Path, target: Path, inside: str) -> tm.OutputFileLog:
+    def _store_file(self, source: Path, target: Path, inside: str) -> tm.OutputFileLog:
         target.parent.mkdir(parents=True, exist_ok=True)
         part = target.with_name(f".{target.name}.{self.job}-{self.task}-{os.getpid()}")
         shutil.copyfile(source, part)
@@ -298,8 +302,8 @@
 
     # --- the log -------------------------------------------------------------------------
 
-    def _log(self, start: str, ran: list[Ran], outputs: list[tm.OutputFileLog]) -> bytes:
-        """The log, with as much of the tails as goes through."""
+    def _log(self, start: str, ran: list[ExecutorResult], outputs: list[tm.OutputFileLog]) -> bytes:
+        """The encoded log, with tails and outputs shortened until it fits into LOG_BYTES."""
         tail = TAIL_BYTES
         while True:
             rows = [
@@ -309,8 +313,8 @@
             raw = msgspec.json.encode(
                 tm.TaskLog(rows, outputs, None, start, now(), self.notes or None)
             )
-            told = wr.TaskResult(self.job, self.task, 0, False, raw)
-            if len(wr.result_body(told)) <= LOG_BYTES or not (tail or outputs):
+            result = wr.TaskResult(self.job, self.task, 0, False, raw)
+            if len(wr.result_body(result)) <= LOG_BYTES or not (tail or outputs):
                 return raw
             if tail:
                 tail //= 2
@@ -319,11 +323,11 @@
                 outputs = []
 
 
-def local(url: str) -> Path:
-    """The file that a `file://` url names. Raises Unfit for any other."""
+def local_path(url: str) -> Path:
+    """The path of a `file://` URL. Raises StagingError for any other."""
     parts = urlsplit(url)
     if parts.scheme != "file" or parts.netloc not in ("", "localhost"):
-        raise Unfit(f"{url} is not a file:// url; the lab's machines reach no other storage")
+        raise StagingError(f"{url} is not a file:// URL, the only storage of the lab's machines")
     return Path(unquote(parts.path))
 
 
--- a/coveflow/lab/scale_run.py
+++ b/coveflow/lab/scale_run.py
@@ -20,7 +20,7 @@
 from coveflow.core.model import Spec
 from coveflow.lab import faults as fl
 from coveflow.lab import scale
-from coveflow.lab.check import Broken
+from coveflow.lab.check import Violation
 from coveflow.lab.cluster import Cluster, clock
 from coveflow.lab.evening import Evening
 
@@ -59,7 +59,7 @@
     submit_ms: dict[str, float]
     unfinished: int
     refused: int
-    broken: list[Broken] = field(default_factory=list)
+    broken: list[Violation] = field(default_factory=list)
 
 
 def check_room(load: scale.Load) -> None:
--- a/coveflow/lab/serve.py
+++ b/coveflow/lab/serve.py
@@ -1,8 +1,8 @@
-"""The stand-ins over TCP: a process for the state service, one for the cloud and its workers.
+"""Serves the simulated services over TCP: the state service, and the cloud with its workers.
 
-`python -m coveflow.lab.serve state|fleet PLAN` is started by `cluster`; PLAN is a CBOR file that
-says which ports to use. Workers share a process because the tasks of a gang have to find each
-other; each has a port and connections of its own.
+`cluster` starts `python -m coveflow.lab.serve state|fleet PLAN` once for each; PLAN is a CBOR file
+with the ports to use. All workers run in one process, since the tasks of a gang have to find each
+other; each worker has its own port and connections.
 """
 
 from __future__ import annotations
@@ -28,9 +28,9 @@
 from coveflow.lab.cloud import Cloud, Host
 from coveflow.lab.links import Link
 from coveflow.lab.runner import DEFAULT_IMAGES as IMAGES
-from coveflow.lab.runner import Run
-from coveflow.lab.store import Failed, Malformed, Rate, Store, TooOld
-from coveflow.lab.truth import INF, Truth
+from coveflow.lab.runner import TaskRun
+from coveflow.lab.store import ConditionFailed, Malformed, RateLimit, RevisionCompacted, Store
+from coveflow.lab.truth import INF, GroundTruth
 from coveflow.lab.worker import Attempt, Key, Worker
 from coveflow.lab.workload import run_times
 from coveflow.tes import models as tm
@@ -38,18 +38,18 @@
 from coveflow.wire import runner as wr
 
 LOCAL = "127.0.0.1"
-ANSWER_S = 4.0  # s a worker waits for an answer; the protocol's own number
-NEXT_S = 1.0  # s until it tries the next node
-CHANGE_S = 0.5  # s between two reports that changes bring forward
-HUNG_LOOK_S = 0.02  # s between two looks whether a hung machine goes on
-TELL_S = 0.5  # s between tries to tell how a task ended
-LIST_BYTES = 512 * 1024  # bytes of one answer to a listing
+ANSWER_S = 4.0  # how long a worker waits for an answer, as the protocol states
+NEXT_NODE_S = 1.0  # delay before a worker tries the next node
+EARLY_REPORT_S = 0.5  # minimum interval between two reports that are sent early because of changes
+HUNG_POLL_S = 0.02  # interval of the checks whether a hung machine has resumed
+RESULT_RETRY_S = 0.5  # delay between attempts to send a task's result
+LIST_BYTES = 512 * 1024  # maximum size of one page of a listing
 
-clock = time.monotonic  # one clock for all processes of this machine
+clock = time.monotonic  # the same clock in all processes of this machine
 
 
 async def listen(handler: Callable[[web.BaseRequest], Awaitable[web.StreamResponse]], port: int):
-    """Serve on loopback; the port, and what has to be kept while it serves."""
+    """Serve on loopback; returns the port and the runner, which has to be kept alive."""
     runner = web.ServerRunner(web.Server(handler, access_log=None))
     await runner.setup()
     site = web.TCPSite(runner, LOCAL, port, reuse_address=True)
@@ -61,8 +61,8 @@
     return web.Response(status=status, body=body, content_type="application/cbor")
 
 
-def noted(kind: str, at: float, worker: Worker, attempt: Attempt) -> dict[str, Any]:
-    """A row of the history: what became of an attempt, and on which machine."""
+def attempt_row(kind: str, at: float, worker: Worker, attempt: Attempt) -> dict[str, Any]:
+    """The row of the history for an event of an attempt on a machine."""
     return {
         "at": at, "kind": kind, "job": attempt.job, "task": attempt.task,
         "number": attempt.number, "machine": worker.name, "type": worker.flavor.name,
@@ -71,7 +71,7 @@
 
 
 class StateServer:
-    """The state service: one port per controller, so that one of them can be refused alone."""
+    """The state service, with one port per controller, so that each can be refused separately."""
 
     def __init__(self, site: sites.Site) -> None:
         s = site.state
@@ -83,7 +83,7 @@
         self.changed = asyncio.Event()
 
     def fill(self, tasks: int, nodes: list[str]) -> None:
-        """Begin with so many tasks of the task API that are over, as a long service leaves them."""
+        """Add records of finished tasks of the task API, as they exist after a long operation."""
         from coveflow.lab.prefilled_store import fill
 
         fill(self.store, tasks, nodes)
@@ -122,11 +122,11 @@
             await asyncio.sleep(self.slow_s)
         try:
             return await self._route(who, request)
-        except Failed as conflict:
+        except ConditionFailed as conflict:
             return cbor(remote.txn_body(conflict.rev, conflict.keys), 409)
         except (Malformed, wire.Malformed, KeyError, ValueError) as error:
             return cbor(wire.error_answer(str(error)), 400)
-        except TooOld:
+        except RevisionCompacted:
             return web.Response(status=410)
 
     async def _route(self, who: str, request: web.BaseRequest) -> web.StreamResponse:
@@ -142,45 +142,47 @@
             if row is None:
                 return cbor(remote.txn_body(store.rev), 404)
             return cbor(
-                remote.item_body(path[len(wire.STORE_PATH) + 1 :], row.value, row.rev, row.grant)
+                remote.item_body(path[len(wire.STORE_PATH) + 1 :], row.value, row.rev, row.lease)
             )
         if path == wire.LEASES_PATH and method == "POST":
             return cbor(
                 remote.lease_answer(
-                    store.hold(remote.read_lease_duration(await request.read()), clock())
+                    store.grant_lease(remote.read_lease_duration(await request.read()), clock())
                 )
             )
         if path.startswith(wire.LEASES_PATH + "/"):
             number = path[len(wire.LEASES_PATH) + 1 :].removesuffix("/renew")
             if method == "POST":
-                good = store.renew(int(number), clock())
-                return web.Response(status=200 if good else 404)
+                accepted = store.renew_lease(int(number), clock())
+                return web.Response(status=200 if accepted else 404)
             if method == "DELETE":
-                store.end(int(number))
-                self._tell()
+                store.end_lease(int(number))
+                self._notify_watches()
                 return web.Response()
         return web.Response(status=404)
 
     async def _commit(self, body: bytes) -> web.StreamResponse:
         guards, writes = remote.read_txn(body)
-        if writes and not self.store.changes.take(len(writes), clock()):
+        if writes and not self.store.write_limit.take(len(writes), clock()):
             return web.Response(status=429)
         if clock() < self.late_until and writes:
-            # Applied late, and nobody is told: the sender has to find out.
-            asyncio.get_running_loop().call_later(self.late_s, self._late, guards, writes)
+            # Applied late and answered with 503: the sender has to find out the outcome itself.
+            asyncio.get_running_loop().call_later(self.late_s, self._commit_late, guards, writes)
             await asyncio.sleep(self.late_s + ANSWER_S)
             return web.Response(status=503)
         rev = self.store.commit(guards, writes, clock())
         if writes:
-            self._tell()
+            self._notify_watches()
         return cbor(remote.txn_body(rev))
 
-    def _late(self, guards: dict[str, int], writes: dict[str, tuple[Any, int | None]]) -> None:
-        with contextlib.suppress(Failed, Malformed):
+    def _commit_late(
+        self, guards: dict[str, int], writes: dict[str, tuple[Any, int | None]]
+    ) -> None:
+        with contextlib.suppress(ConditionFailed, Malformed):
             self.store.commit(guards, writes, clock())
-            self._tell()
+            self._notify_watches()
 
-    def _tell(self) -> None:
+    def _notify_watches(self) -> None:
         self.changed.set()
         self.changed = asyncio.Event()
 
@@ -219,44 +221,44 @@
                 continue
             if was_down:
                 was_down = False
-                self.store.after_outage(now)
+                self.store.renew_all_leases(now)
             rev = self.store.rev
-            self.store.expire(now)
+            self.store.expire_leases(now)
             if self.store.rev != rev:
-                self._tell()
+                self._notify_watches()
 
 
 class FleetServer:
-    """The cloud, its workers, the links of the whole lab, and the lab's own orders."""
+    """The cloud, its workers, the links of the whole lab, and the control interface of the lab."""
 
     def __init__(self, site: sites.Site, plan: dict[str, Any]) -> None:
         self.site, self.plan = site, plan
         limits = site.limits
-        self.truth = Truth(run_times(site), limits.gang_peer_s, limits.gang_wait_s)
+        self.truth = GroundTruth(run_times(site), limits.gang_peer_s, limits.gang_wait_s)
         self.cloud = Cloud(
             site.flavors, site.capacity, site.cloud["list-lag-s"], site.seed,
             names=plan.get("names", "n"),
         )  # fmt: skip
-        self.rate = Rate(site.cloud["rps"], 2.0)
+        self.rate = RateLimit(site.cloud["rps"], 2.0)
         self.down_until = 0.0
         self.random = random.Random(site.seed)
         self.workers: dict[str, Worker] = {}
-        self.pokes: dict[str, asyncio.Event] = {}
-        self.awake: dict[str, asyncio.Event] = {}
+        self.wake_events: dict[str, asyncio.Event] = {}
+        self.not_hung: dict[str, asyncio.Event] = {}
         self.runners: dict[str, web.ServerRunner] = {}
         self.tasks: set[asyncio.Task[None]] = set()
         self.links: dict[str, Link] = {}
         self.history = open(plan["history"], "a", encoding="utf-8")  # noqa: SIM115
         self.session: aiohttp.ClientSession | None = None
-        self.runs: dict[tuple[str, Key], Run] = {}
-        self.at: dict[str, str] = {}  # the node that each machine reports to
+        self.runs: dict[tuple[str, Key], TaskRun] = {}
+        self.last_node: dict[str, str] = {}  # the node that last answered each machine
         self.cloud.on_rent = self._rented
-        self.cloud.on_gone = self._gone
+        self.cloud.on_gone = self._removed
 
     # --- history -----------------------------------------------------------------------
 
     def note(self, kind: str, at: float, worker: Worker, attempt: Attempt) -> None:
-        row = noted(kind, at, worker, attempt)
+        row = attempt_row(kind, at, worker, attempt)
         self.history.write(json.dumps(row) + "\n")
         if attempt.job in self.truth.documents:
             if kind == "running":
@@ -266,8 +268,8 @@
 
     # --- tasks that are real processes -----------------------------------------------------
 
-    async def _learn(self, worker: Worker, node: str, orders: list[Order]) -> None:
-        """Fetch the documents of jobs that nobody uploaded here: they are the task API's."""
+    async def _fetch_documents(self, worker: Worker, node: str, orders: list[Order]) -> None:
+        """Fetch the documents of jobs that were not uploaded here: those of the task API."""
         for job in {o.job for o in orders if o.verb == "run"} - set(self.truth.specs):
             status, body = await self._ask(worker.zone, node, "GET", wr.TASK_PATH + job, None)
             if status != 200:
@@ -285,26 +287,26 @@
             run.kill()
 
     async def _run_document(self, worker: Worker, key: Key) -> None:
-        """Run an attempt; its word is kept by a controller before the machine reports its end."""
+        """Run an attempt; the worker reports its end only after a controller stored its result."""
         job, task, number = key
         folder = Path(self.plan["tasks"]) / f"{job}-{task}-{number}-{worker.name}"
         document = tm.read_document(self.truth.documents[job])
         size = self.truth.specs[job].tasks
         images = IMAGES | self.site.images
-        run = self.runs[worker.name, key] = Run(job, task, document, folder, images, size)
+        run = self.runs[worker.name, key] = TaskRun(job, task, document, folder, images, size)
         try:
-            told = await run.go()
+            result = await run.execute()
             while (worker.name, key) in self.runs:
-                node = self.at.get(worker.name, self.plan["nodes"][0])
+                node = self.last_node.get(worker.name, self.plan["nodes"][0])
                 status, _ = await self._ask(
-                    worker.zone, node, "POST", wr.RESULT_PATH, wr.result_body(told)
+                    worker.zone, node, "POST", wr.RESULT_PATH, wr.result_body(result)
                 )
                 if status == 200:
                     worker.finish(key, clock())
-                    self.poke_changed()
+                    self.wake_changed()
                 if status in (200, 400, 410):
-                    break  # 410: it was cancelled, and a stop is on its way
-                await asyncio.sleep(TELL_S)
+                    break  # 410: the job was cancelled, and a stop order follows
+                await asyncio.sleep(RESULT_RETRY_S)
         finally:
             if run.killed or (worker.name, key) not in self.runs:
                 run.kill()
@@ -329,36 +331,36 @@
             host.name, "", host.flavor, host.zone, host.spot, self.site.limits, self.truth,
             clock(), host.slow, host.fetch_part, self.note,
         )  # fmt: skip
-        self.pokes[host.name] = asyncio.Event()
-        self.awake[host.name] = asyncio.Event()
-        self.awake[host.name].set()
+        self.wake_events[host.name] = asyncio.Event()
+        self.not_hung[host.name] = asyncio.Event()
+        self.not_hung[host.name].set()
         port, runner = await listen(self._commands(worker), 0)
         self.runners[host.name] = runner
         worker.address = host.address = f"{LOCAL}:{port}"
         self.workers[host.name] = worker
-        await self._live(worker)
+        await self._run_worker(worker)
 
-    def _gone(self, host: Host, now: float) -> None:
+    def _removed(self, host: Host, now: float) -> None:
         worker = self.workers.pop(host.name, None)
         if worker is None:
             return
-        worker.die(now)
-        self.pokes[host.name].set()
-        self.poke_changed()
+        worker.terminate(now)
+        self.wake_events[host.name].set()
+        self.wake_changed()
         runner = self.runners.pop(host.name, None)
         if runner is not None:
             self._spawn(runner.cleanup())
 
-    def poke_changed(self) -> None:
-        """Wake those whose tasks changed: a gang's end on one machine changes others."""
-        touched, self.truth.touched = self.truth.touched, {}
+    def wake_changed(self) -> None:
+        """Wake the workers whose tasks changed: the end of a gang affects several machines."""
+        touched, self.truth.changed_workers = self.truth.changed_workers, {}
         for worker in touched:
-            if worker.name in self.pokes:
-                self.pokes[worker.name].set()
+            if worker.name in self.wake_events:
+                self.wake_events[worker.name].set()
 
     def _commands(self, worker: Worker):
         async def handle(request: web.BaseRequest) -> web.StreamResponse:
-            await self.awake[worker.name].wait()  # a hung machine answers when it goes on
+            await self.not_hung[worker.name].wait()  # a hung machine answers after it resumes
             now = clock()
             if request.path == wire.INSPECT_PATH and request.method == "GET":
                 return cbor(remote.report_body(worker.report(now)))
@@ -369,22 +371,22 @@
                     return web.Response(status=400)
                 if epoch is None or tenure is None:
                     return web.Response(status=400)
-                good = worker.commanded({"epoch": epoch, "tenure": tenure}, orders, now)
-                self.poke_changed()
-                return cbor(remote.report_body(worker.report(now)), 200 if good else 409)
+                accepted = worker.receive_commands({"epoch": epoch, "tenure": tenure}, orders, now)
+                self.wake_changed()
+                return cbor(remote.report_body(worker.report(now)), 200 if accepted else 409)
             return web.Response(status=404)
 
         return handle
 
-    async def _live(self, worker: Worker) -> None:
-        """Report, obey, and let happen what happens by itself, until the machine is gone."""
+    async def _run_worker(self, worker: Worker) -> None:
+        """Send reports, apply orders and process internal events until the machine is gone."""
         nodes = list(self.plan["nodes"])
         node = self.random.choice(nodes)
-        poke = self.pokes[worker.name]
+        wake = self.wake_events[worker.name]
         due = clock() + self.random.uniform(0, self.site.limits.report_s)
-        soonest = -INF  # before which no change brings the next report forward
+        earliest = -INF  # no report is sent early because of changes before this time
         while worker.alive:
-            await self._until(worker, poke, due, soonest)
+            await self._wait_for_report(worker, wake, due, earliest)
             if not worker.alive:
                 return
             sent = clock()
@@ -393,17 +395,17 @@
             now = clock()
             if not worker.alive:
                 return
-            wait = NEXT_S
+            wait = NEXT_NODE_S
             if status == 200:
                 try:
                     epoch, _, orders = remote.read_orders(body)
                 except wire.Malformed:
                     epoch, orders = None, []
-                await self._learn(worker, node, orders)
+                await self._fetch_documents(worker, node, orders)
                 now = clock()
-                self.at[worker.name] = node
-                worker.answered(report.tenure, sent, epoch, orders, now)
-                self.poke_changed()
+                self.last_node[worker.name] = node
+                worker.receive_answer(report.tenure, sent, epoch, orders, now)
+                self.wake_changed()
                 wait = None
             elif status == 421:
                 to = remote.read_redirect(body)
@@ -415,34 +417,36 @@
                 node = nodes[(nodes.index(node) + 1) % len(nodes)]
             every = self.site.limits.report_s * self.random.uniform(0.75, 1.25)
             due = now + wait if wait is not None else sent + every
-            soonest = due if wait is not None else sent + CHANGE_S
+            earliest = due if wait is not None else sent + EARLY_REPORT_S
 
-    async def _until(self, worker: Worker, poke: asyncio.Event, due: float, soonest: float) -> None:
-        """Sleep until the next report; changes bring it forward, internal events happen."""
+    async def _wait_for_report(
+        self, worker: Worker, wake: asyncio.Event, due: float, earliest: float
+    ) -> None:
+        """Process internal events until the next report is due; changes make it due earlier."""
         while worker.alive:
             now = clock()
             if worker.hung_at is None:
                 worker.advance(now)
-                self._gangs(now)
+                self._advance_gangs(now)
                 if worker.changed:
-                    due = min(due, max(soonest, now))
+                    due = min(due, max(earliest, now))
                 if now >= due:
                     return
             at = min(due, worker.next_at())
             with contextlib.suppress(TimeoutError):
-                least = 0.001 if worker.hung_at is None else HUNG_LOOK_S
-                await asyncio.wait_for(poke.wait(), max(least, min(at - now, 1.0)))
-            poke.clear()
+                least = 0.001 if worker.hung_at is None else HUNG_POLL_S
+                await asyncio.wait_for(wake.wait(), max(least, min(at - now, 1.0)))
+            wake.clear()
 
-    def _gangs(self, now: float) -> None:
+    def _advance_gangs(self, now: float) -> None:
         if self.truth.next_at() <= now:
             self.truth.advance(now)
-            self.poke_changed()
+            self.wake_changed()
 
     async def _gang_timer(self) -> None:
         while True:
             await asyncio.sleep(0.02)
-            self._gangs(clock())
+            self._advance_gangs(clock())
 
     async def _post(self, worker: Worker, node: str, body: bytes) -> tuple[int, bytes]:
         return await self._ask(worker.zone, node, "POST", wire.REPORT_PATH, body)
@@ -450,7 +454,7 @@
     async def _ask(
         self, zone: str, node: str, method: str, path: str, body: bytes | None
     ) -> tuple[int, bytes]:
-        """Status (0: none) and body, over the zone's link to the node."""
+        """Send a request over the zone's link to the node; returns status (0: none) and body."""
         assert self.session is not None
         link = self.links[f"{zone}->{node}"]
         try:
@@ -476,7 +480,7 @@
         path, method = request.path, request.method
         try:
             if path == wire.FLAVORS_PATH and method == "GET":
-                return cbor(remote.flavors_body(self.cloud.priced()))
+                return cbor(remote.flavors_body(self.cloud.current_flavors()))
             if path == wire.RENTALS_PATH and method == "POST":
                 names = self.cloud.rent(*remote.read_rental(await request.read()), now)
                 if not names:
@@ -487,20 +491,20 @@
                 rows, more = self.cloud.list(request.query.get("after", ""), most, now)
                 return cbor(remote.list_body(rows, more))
             if path == wire.RETURN_PATH and method == "POST":
-                self.cloud.give_back(wire.read_hosts(await request.read()), now)
+                self.cloud.return_machines(wire.read_hosts(await request.read()), now)
                 return web.Response()
         except (wire.Malformed, ValueError) as error:
             return cbor(wire.error_answer(str(error)), 400)
         return web.Response(status=404)
 
-    # --- the lab's own interface -------------------------------------------------------
+    # --- the control interface of the lab ----------------------------------------------
 
     async def serve_lab(self, request: web.BaseRequest) -> web.StreamResponse:
         body = wire.unpack(await request.read()) if request.method == "POST" else {}
         if request.path == "/lab/upload":
             self.truth.upload(msgspec.convert(body["spec"], Spec))
             if body.get("broken"):
-                self.truth.broken.add(body["spec"]["id"])
+                self.truth.failing_jobs.add(body["spec"]["id"])
             return web.Response()
         if request.path == "/lab/fault":
             await self.fault(body)
@@ -531,12 +535,12 @@
         kind, for_s = order["kind"], order.get("for_s", 0.0)
         if kind == "cut":
             for name in order["links"]:
-                await self.links[name].set(order.get("mode", "hold"))
-            self._spawn(self._mend(order["links"], for_s))
+                await self.links[name].set_mode(order.get("mode", "hold"))
+            self._spawn(self._reopen_links(order["links"], for_s))
         elif kind == "delay":
             for name in order["links"]:
-                await self.links[name].set("open", order["by_s"])
-            self._spawn(self._mend(order["links"], for_s))
+                await self.links[name].set_mode("open", order["by_s"])
+            self._spawn(self._reopen_links(order["links"], for_s))
         elif kind == "cloud-outage":
             self.down_until = now + for_s
         else:
@@ -553,39 +557,41 @@
             self.cloud.fail(worker.name, now)
         elif kind == "take":
             notice = order.get("notice_s", 0.0)
-            worker.taken_at, worker.changed = now + notice, True
-            self.pokes[worker.name].set()
-            self._spawn(self._take(worker.name, notice))
+            worker.reclaim_at, worker.changed = now + notice, True
+            self.wake_events[worker.name].set()
+            self._spawn(self._reclaim(worker.name, notice))
         elif kind == "hang":
             worker.hang(now)
-            self.awake[worker.name].clear()
-            self._spawn(self._later(for_s, lambda: self._resume(worker)))
+            self.not_hung[worker.name].clear()
+            self._spawn(self._run_later(for_s, lambda: self._resume(worker)))
         elif kind == "sick":
             worker.sick = True
-            self._spawn(self._later(for_s, lambda: setattr(worker, "sick", False)))
+            self._spawn(self._run_later(for_s, lambda: setattr(worker, "sick", False)))
         elif kind == "slow":
             worker.slow *= order.get("factor", 2.0)
             self._spawn(
-                self._later(for_s, lambda: setattr(worker, "slow", worker.slow / order["factor"]))
+                self._run_later(
+                    for_s, lambda: setattr(worker, "slow", worker.slow / order["factor"])
+                )
             )
 
     def _resume(self, worker: Worker) -> None:
         worker.resume(clock())
-        self.awake[worker.name].set()
+        self.not_hung[worker.name].set()
 
-    async def _later(self, after_s: float, action: Callable[[], Any]) -> None:
+    async def _run_later(self, after_s: float, action: Callable[[], Any]) -> None:
         await asyncio.sleep(after_s)
         action()
-        self.poke_changed()
+        self.wake_changed()
 
-    async def _take(self, name: str, notice_s: float) -> None:
+    async def _reclaim(self, name: str, notice_s: float) -> None:
         await asyncio.sleep(notice_s)
-        self.cloud.take(name, clock())
+        self.cloud.reclaim(name, clock())
 
-    async def _mend(self, links: list[str], after_s: float) -> None:
+    async def _reopen_links(self, links: list[str], after_s: float) -> None:
         await asyncio.sleep(after_s)
         for name in links:
-            await self.links[name].set("open")
+            await self.links[name].set_mode("open")
 
     async def run(self) -> None:
         self.session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
@@ -593,7 +599,7 @@
             self.links[name] = Link(name, (LOCAL, target), port)
             await self.links[name].start()
         for (flavor, zone, spot), count in self.site.up.items():
-            self.cloud.begin(flavor, zone, spot, count, clock())
+            self.cloud.start_machines(flavor, zone, spot, count, clock())
         self._spawn(self._gang_timer())
         while True:
             await asyncio.sleep(1.0)
@@ -604,18 +610,18 @@
 
 async def serve(role: str, plan: dict[str, Any]) -> None:
     site = sites.load(Path(plan["site"]))
-    kept = []
+    listeners = []
     if role == "state":
         state = StateServer(site)
         if plan.get("filled"):
             state.fill(plan["filled"], plan["nodes"])
         for who, port in plan["state"].items():
-            kept.append(await listen(state.handler(who), port))
+            listeners.append(await listen(state.handler(who), port))
         await state.run()
     else:
         fleet = FleetServer(site, plan)
-        kept.append(await listen(fleet.serve_cloud, plan["cloud"]))
-        kept.append(await listen(fleet.serve_lab, plan["lab"]))
+        listeners.append(await listen(fleet.serve_cloud, plan["cloud"]))
+        listeners.append(await listen(fleet.serve_lab, plan["lab"]))
         await fleet.run()
 
 
--- a/coveflow/lab/site.py
+++ b/coveflow/lab/site.py
@@ -1,4 +1,6 @@
-"""A lab's description: zones, limits, machine types, capacity, teams and classes of jobs.
+"""Parser of lab files: zones, limits, machine types, capacity, teams and job classes.
+
+An example of the format:
 
 (lab (seed 1) (zones north south) (controllers 3)
   (workers (report-s 0.5) (lease-s 4) (gang-wait-s 15) (gang-peer-s 3) (cancel-s 15))
@@ -9,7 +11,7 @@
   (capacity small north (ordinary 4) (spot 4) (up 3))
   (team blue (cpus 16) (cpus-max 96))
   (class tally (team blue) (shape array) ...)
-  (image shell "/bin/sh")               ; put before the command of a task document's executors
+  (image shell "/bin/sh")               ; prepended to the command of a task document's executors
   (objective deadline tally (share 0.9)))
 """
 
@@ -25,21 +27,21 @@
 from coveflow.settings import Team
 from coveflow.wire import KINDS, PRIORITIES
 
-WORKERS = ("report-s", "lease-s", "gang-wait-s", "gang-peer-s", "cancel-s")
-STATE = ("rps", "write-rps", "value-kb", "txn-ops")
-CLOUD = ("rps", "list-lag-s")
+WORKER_KEYS = ("report-s", "lease-s", "gang-wait-s", "gang-peer-s", "cancel-s")
+STATE_KEYS = ("rps", "write-rps", "value-kb", "txn-ops")
+CLOUD_KEYS = ("rps", "list-lag-s")
 
 
 @dataclass(frozen=True)
-class Class:
-    """Jobs of one kind: how often, how large, how long. Times in s."""
+class JobClass:
+    """Arrival rate, size and run time of one class of jobs. Times are in seconds."""
 
     name: str
     team: str
     shape: str = "array"
     priority: int = 1
-    tasks: tuple[float, float, float] = (4, 8, 16)  # median, 95th percentile, most
-    run_s: tuple[float, float, float] = (5, 10, 20)  # the same, of one task
+    tasks: tuple[float, float, float] = (4, 8, 16)  # median, 95th percentile, maximum
+    run_s: tuple[float, float, float] = (5, 10, 20)  # the same, for the run time of one task
     cpus: float = 1.0
     accelerators: float = 0.0
     ram_gb: float = 1.0
@@ -51,8 +53,8 @@
     spot: bool = True
     checkpoint_s: float = 0.0
     save_s: float = 0.0
-    deadline: tuple[float, float] | None = None  # factor of the estimate, and s added
-    estimate_error: float = 0.3  # sigma of the owners' estimates, lognormal
+    deadline: tuple[float, float] | None = None  # factor of the estimate, and seconds added to it
+    estimate_error: float = 0.3  # sigma of the users' run time estimates (lognormal)
     per_minute: float = 0.0
     initial: int = 0
     repeat: bool = True
@@ -60,6 +62,8 @@
 
 @dataclass
 class Site:
+    """The contents of one lab file."""
+
     seed: int = 1
     controllers: int = 3
     zones: list[str] = field(default_factory=lambda: ["north", "south"])
@@ -70,18 +74,18 @@
     capacity: dict[tuple[str, str, bool], int] = field(default_factory=dict)
     up: dict[tuple[str, str, bool], int] = field(default_factory=dict)
     teams: list[Team] = field(default_factory=list)
-    classes: list[Class] = field(default_factory=list)
+    classes: list[JobClass] = field(default_factory=list)
     objectives: list[dict[str, Any]] = field(default_factory=list)
-    images: dict[str, str] = field(default_factory=dict)  # programs that stand for images
-    restart_s: float = 2.0  # s until a controller that ended is started again
+    images: dict[str, str] = field(default_factory=dict)  # program that replaces each image
+    restart_s: float = 2.0  # delay before an exited controller is restarted
 
     @property
     def limits(self) -> Limits:
-        return Limits(**{key.replace("-", "_"): self.workers[key] for key in WORKERS})
+        return Limits(**{key.replace("-", "_"): self.workers[key] for key in WORKER_KEYS})
 
 
 def load(path: Path) -> Site:
-    """Read a lab file; FormError names file and form."""
+    """Read a lab file. Raises FormError, which names the file and the form."""
     try:
         return parse(path.read_text(encoding="utf-8"), str(path))
     except (OSError, UnicodeDecodeError) as error:
@@ -101,11 +105,11 @@
             case "zones":
                 site.zones = [forms.word(key, [value], origin) for value in values]
             case "workers":
-                site.workers = _numbers(values, WORKERS, at)
+                site.workers = _numbers(values, WORKER_KEYS, at)
             case "state":
-                site.state = _numbers(values, STATE, at)
+                site.state = _numbers(values, STATE_KEYS, at)
             case "cloud":
-                site.cloud = _numbers(values, CLOUD, at)
+                site.cloud = _numbers(values, CLOUD_KEYS, at)
             case "type":
                 site.flavors.append(_type(values, site.zones, at))
             case "capacity":
@@ -122,14 +126,14 @@
             case "objective":
                 site.objectives.append(_objective(values, at))
             case _:
-                raise forms.FormError(f"{origin}: {key} is not part of a lab file")
+                raise forms.FormError(f"{origin}: {key} is not a form of a lab file")
     for part in ("workers", "state", "cloud", "flavors", "capacity", "teams"):
         if not getattr(site, part):
             raise forms.FormError(f"{origin}: ({part.rstrip('s')} ...) is missing")
     known = {f.name for f in site.flavors}
     for name, zone, _ in site.capacity:
         if name not in known or zone not in site.zones:
-            raise forms.FormError(f"{origin}: capacity names {name} in {zone}, which is not there")
+            raise forms.FormError(f"{origin}: capacity names {name} in {zone}, which is unknown")
     return site
 
 
@@ -144,14 +148,14 @@
     return {key: forms.number(key, table[key], origin, 0) for key in keys}
 
 
-def _named(values: list[Any], origin: str) -> tuple[str, dict[str, list[Any]]]:
+def _name_and_table(values: list[Any], origin: str) -> tuple[str, dict[str, list[Any]]]:
     if not values or not isinstance(values[0], str):
         raise forms.FormError(f"{origin}: a name is missing")
     return values[0], forms.table(values[1:], f"{origin} {values[0]}")
 
 
 def _type(values: list[Any], zones: list[str], origin: str) -> Flavor:
-    name, table = _named(values, origin)
+    name, table = _name_and_table(values, origin)
     keys = (
         "cpus", "ram-gb", "cache-gb", "fetch-gb-per-s", "price", "spot-price", "boot-s",
         "accelerators",
@@ -179,7 +183,7 @@
 
 
 def _team(values: list[Any], origin: str) -> Team:
-    name, table = _named(values, origin)
+    name, table = _name_and_table(values, origin)
     names = {
         "cpus": "cpus", "cpus-max": "cpus_max", "accelerators": "accelerators",
         "accelerators-max": "accelerators_max",
@@ -199,17 +203,17 @@
     return row
 
 
-_THREE = ("tasks", "run-s")
-_PLAIN = (
+_DISTRIBUTIONS = ("tasks", "run-s")
+_NUMBERS = (
     "cpus", "accelerators", "ram-gb", "image-gb", "checkpoint-s", "save-s", "estimate-error",
     "per-minute",
 )  # fmt: skip
 _FLAGS = ("one-zone", "spread", "spot", "repeat")
 
 
-def job_class(values: list[Any], origin: str) -> Class:
-    """`(class NAME (team T) (shape array) (tasks MEDIAN P95 MOST) (run-s MEDIAN P95 MOST) ...)`."""
-    name, table = _named(values, origin)
+def job_class(values: list[Any], origin: str) -> JobClass:
+    """Parse `(class NAME (team T) (shape array) (tasks MEDIAN P95 MOST) ...)`."""
+    name, table = _name_and_table(values, origin)
     at = f"{origin} {name}"
     fields: dict[str, Any] = {}
     for key, words in table.items():
@@ -220,12 +224,12 @@
             fields["shape"] = KINDS[forms.word(key, words, at, tuple(KINDS))]
         elif key == "priority":
             fields["priority"] = PRIORITIES[forms.word(key, words, at, tuple(PRIORITIES))]
-        elif key in _THREE:
+        elif key in _DISTRIBUTIONS:
             if len(words) not in (1, 3):
                 raise forms.FormError(f"{at}: ({key} MEDIAN P95 MOST) or ({key} VALUE)")
             numbers = [forms.number(key, [w], at, 0) for w in words]
             fields[field_name] = tuple(numbers * 3 if len(numbers) == 1 else numbers)
-        elif key in _PLAIN:
+        elif key in _NUMBERS:
             fields[field_name] = forms.number(key, words, at, 0)
         elif key in ("images", "initial"):
             fields[field_name] = int(forms.number(key, words, at, 0))
@@ -238,7 +242,7 @@
                 raise forms.FormError(f"{at}: (deadline FACTOR PLUS-S)")
             fields["deadline"] = tuple(forms.number(key, [w], at, 0) for w in words)
         else:
-            raise forms.FormError(f"{at}: {key} is not part of a class")
+            raise forms.FormError(f"{at}: {key} is not a form of a class")
     if "team" not in fields:
         raise forms.FormError(f"{at}: (team NAME) is missing")
-    return Class(name, **fields)
+    return JobClass(name, **fields)
--- a/coveflow/lab/stepwise_model.py
+++ b/coveflow/lab/stepwise_model.py
@@ -27,8 +27,8 @@
 from coveflow.daemon.owner import Owner
 from coveflow.lab.check import Checker
 from coveflow.lab.replies import Reply
-from coveflow.lab.store import Failed, Store
-from coveflow.lab.truth import Truth
+from coveflow.lab.store import ConditionFailed, Store
+from coveflow.lab.truth import GroundTruth
 from coveflow.lab.worker import Attempt, Limits, Worker
 from coveflow.membership.leadership import Membership
 from coveflow.net.http import UnknownOutcome
@@ -175,9 +175,11 @@
             JOB, "tally", "blue", "array", 1, tasks, 2.0, 0.0, 1.0, "i", 0.0, None, None, False,
             False, False, RUN_S, 0.0, 0.0, None,
         )  # fmt: skip
-        self.truth = Truth(lambda sp: [RUN_S] * sp.tasks, LIMITS.gang_peer_s, LIMITS.gang_wait_s)
+        self.truth = GroundTruth(
+            lambda sp: [RUN_S] * sp.tasks, LIMITS.gang_peer_s, LIMITS.gang_wait_s
+        )
         self.truth.upload(spec)
-        self.checker.see({"at": 0.0, "kind": "submit", "job": JOB, "spec": spec})
+        self.checker.record({"at": 0.0, "kind": "submit", "job": JOB, "spec": spec})
         names = [f"host-{i}" for i in range(nodes)]
         self.settings = {name: self._settings(name, team, names) for name in names}
         record = {"spec": _builtins(spec), "at": 0.0}
@@ -341,10 +343,10 @@
         if choice[0] in self.left:
             self.left[choice[0]] -= 1
         getattr(self, f"_do_{choice[0]}")(*choice[1:])
-        for job, task in list(self.checker.live):
-            self.checker._not_cancelled(job, task, self.now)
-        if self.checker.broken:
-            first = self.checker.broken[0]
+        for job, task in list(self.checker.running):
+            self.checker._check_cancelled(job, task, self.now)
+        if self.checker.violations:
+            first = self.checker.violations[0]
             raise RuleBroken(f"{first.rule}: {first.text}", self.path)
 
     def _do_apply(self, name: str, which: str) -> None:
@@ -360,7 +362,7 @@
             try:
                 call.outcome = self._write(cbor2.loads(args[1]), args[0])
                 self.old = (args[0], args[1])
-            except Failed as failed:
+            except ConditionFailed as failed:
                 call.outcome = Conflict(failed.keys)
 
     def _do_answer(self, name: str, which: str) -> None:
@@ -442,7 +444,7 @@
         node = self.nodes[name]
         machines, node.awaiting_return = node.awaiting_return, []
         for machine in machines:
-            self.workers[machine].die(self.now)
+            self.workers[machine].terminate(self.now)
             self.sent.pop(machine, None)
         node.owner.process_batch([cm.MachinesReturned(machines)])
 
@@ -502,11 +504,11 @@
         if worker.tenure == sent.report.tenure and epoch >= worker.epoch:
             self._judge(name, sent, orders)
             self._orders(worker, orders)
-        worker.answered(sent.report.tenure, sent.at, epoch, orders, self.now)
+        worker.receive_answer(sent.report.tenure, sent.at, epoch, orders, self.now)
 
     def _judge(self, name: str, sent: ReportInFlight, orders: list[Order]) -> None:
         if self.cancel_model:
-            self.checker.see({
+            self.checker.record({
                 "kind": "renewed", "at": self.now, "sent": sent.at, "machine": name,
                 "live": [(t.job, t.task) for t in sent.report.tasks if t.state != "exited"],
                 "orders": [(order.verb, order.job, order.task) for order in orders],
@@ -541,11 +543,11 @@
     def _do_again(self) -> None:
         """A duplicate of an earlier transaction arrives."""
         assert self.old is not None
-        with contextlib.suppress(Failed):
+        with contextlib.suppress(ConditionFailed):
             self._write(cbor2.loads(self.old[1]), self.old[0])
 
     def _do_expire(self, name: str) -> None:
-        self.workers[name].expire(self.now)
+        self.workers[name].expire_lease(self.now)
 
     def _do_finish(self, name: str) -> None:
         worker = self.workers[name]
@@ -562,11 +564,11 @@
             self.nodes[name].owner.cancellations.confirm(JOB, self.now, self.now)
         for kind, more in (("cancel", {}), ("answer", {"to": "cancel", "code": 200,
                                                        "state": "cancelled"})):  # fmt: skip
-            self.checker.see({"at": self.now, "kind": kind, "job": JOB, **more})
+            self.checker.record({"at": self.now, "kind": kind, "job": JOB, **more})
 
     def _note(self, kind: str, at: float, worker: Worker, attempt: Attempt) -> None:
         if kind != "running":
-            self.checker.see({
+            self.checker.record({
                 "at": at, "kind": kind, "job": attempt.job, "task": attempt.task,
                 "machine": worker.name, "type": "m", "zone": "north", "spot": False,
                 "why": attempt.why,
@@ -599,7 +601,7 @@
             ])  # fmt: skip
         for name, worker in self.workers.items():
             parts.append([name, worker.alive, worker.tenure, worker.counter, worker.epoch,
-                          worker.lease_from, [[*a.key, a.state, a.ends]
+                          worker.lease_renewed_at, [[*a.key, a.state, a.ends]
                                               for a in worker.tasks.values()]])  # fmt: skip
         for name, sent in sorted(self.sent.items()):
             parts.append([name, sent.report.counter, sent.node, sent.taken, str(sent.answer)])
--- a/coveflow/lab/virtual.py
+++ b/coveflow/lab/virtual.py
@@ -296,7 +296,7 @@
         epoch, _, orders = remote.read_orders(answer)
         if not worker.alive or worker.tenure != report.tenure or (epoch or 0) < worker.epoch:
             return
-        self.world.checker.see({
+        self.world.checker.record({
             "kind": "renewed", "at": self.world.now, "sent": sent, "machine": worker.name,
             "live": [(t.job, t.task) for t in report.tasks if t.state != "exited"],
             "orders": [(order.verb, order.job, order.task) for order in orders],
@@ -314,7 +314,7 @@
     def restart(self, name: str, tenure: int) -> None:
         """Restarts the machine empty; its report counter starts from one."""
         old = self.workers[name]
-        old.die(self.world.now)
+        old.terminate(self.world.now)
         host = next(h for h in self.cloud.hosts.values() if h.name == name)
         self.world.hosts[FLEET].loop.create_task(self._boot(host, tenure))
 
@@ -327,11 +327,11 @@
             self.world.now, host.slow, host.fetch_part, self.note,
         )  # fmt: skip
         worker.tenure = tenure
-        self.pokes[host.name] = asyncio.Event()
-        self.awake[host.name] = asyncio.Event()
-        self.awake[host.name].set()
+        self.wake_events[host.name] = asyncio.Event()
+        self.not_hung[host.name] = asyncio.Event()
+        self.not_hung[host.name].set()
         self.workers[host.name] = worker
-        await self._live(worker)
+        await self._run_worker(worker)
 
     async def _ask(
         self, zone: str, node: str, method: str, path: str, body: bytes | None
@@ -412,7 +412,7 @@
 
     async def _fleet(self) -> None:
         for (flavor, zone, spot), count in self.site.up.items():
-            self.fleet.cloud.begin(flavor, zone, spot, count, self.now)
+            self.fleet.cloud.start_machines(flavor, zone, spot, count, self.now)
         await self.fleet._gang_timer()
 
     # --- time --------------------------------------------------------------------------
@@ -485,8 +485,8 @@
                 if loop.ready() or loop.next_at() <= self.now + 1e-9:
                     loop.turn()
                     busy = True
-        if self.checker.broken:
-            first = self.checker.broken[0]
+        if self.checker.violations:
+            first = self.checker.violations[0]
             raise AssertionError(f"{first.rule}: {first.text} at {first.at:.2f}")
 
     def when(self, condition: Callable[[], bool], action: Callable[[], None]) -> None:
@@ -735,7 +735,7 @@
     def submit(self, spec: Spec, node: str) -> None:
         """Submits a job, with the retries of the protocol: at this node, then at the others."""
         self.fleet.truth.upload(spec)
-        self.checker.see({"at": self.now, "kind": "submit", "job": spec.id, "spec": spec})
+        self.checker.record({"at": self.now, "kind": "submit", "job": spec.id, "spec": spec})
         self.hosts[FLEET].loop.create_task(self._submit(spec, node))
 
     async def _submit(self, spec: Spec, node: str) -> None:
@@ -767,7 +767,7 @@
 
     def cancel(self, job: str, node: str = "") -> None:
         """Cancels a job: asks one node after the other, starting with `node`, until one answers."""
-        self.checker.see({"at": self.now, "kind": "cancel", "job": job})
+        self.checker.record({"at": self.now, "kind": "cancel", "job": job})
         self.hosts[FLEET].loop.create_task(self._cancel(job, node))
 
     async def _cancel(self, job: str, first: str) -> None:
@@ -782,7 +782,7 @@
 
     async def watch(self, job: str) -> None:
         """Polls the job every 5 s, at a random node, until it has ended."""
-        while self.checker.jobs[job].told not in ("done", "cancelled"):
+        while self.checker.jobs[job].final_state not in ("done", "cancelled"):
             await asyncio.sleep(POLL_S)
             node = self.random.choice(list(self.controllers))
             await self._request(node, "GET", wire.WORK_PATH + "/" + job, "poll", job)
@@ -803,7 +803,7 @@
 
     def cancel_once(self, job: str, node: str, me: SimulatedHost | None = None) -> None:
         """Sends one request to cancel the job, without retries."""
-        self.checker.see({"at": self.now, "kind": "cancel", "job": job})
+        self.checker.record({"at": self.now, "kind": "cancel", "job": job})
         path = f"{wire.WORK_PATH}/{job}{wire.ABORT_PATH}"
         self.hosts[FLEET].loop.create_task(
             self._request(node, "POST", path, "cancel", job, sent=self.now, me=me)
@@ -829,7 +829,11 @@
         for after_s in BURST_S:
             self.at(self.now + after_s, lambda: self.poll_all_nodes(job))
         known = self.checker.jobs[job]
-        if not known.told and not known.asked_cancel and self.random.random() < self.burst_cancels:
+        if (
+            not known.final_state
+            and not known.cancel_requested
+            and self.random.random() < self.burst_cancels
+        ):
             self.cancel(job, self.random.choice(list(self.controllers)))
 
     def cancel_at_end(self, share: float, for_s: float) -> None:
@@ -854,9 +858,9 @@
     def _send_odd_requests(self) -> None:
         names = list(self.controllers)
         for job, known in list(self.checker.jobs.items()):
-            if known.accepted and not known.told:
+            if known.accepted and not known.final_state:
                 self.resubmit(job, self.random.choice(names))
-            elif known.told == "done" and self.random.random() < 0.3:
+            elif known.final_state == "done" and self.random.random() < 0.3:
                 self.cancel(job, self.random.choice(names))
         known_specs = [known.spec for known in self.checker.jobs.values() if known.spec is not None]
         if not known_specs:
@@ -932,7 +936,7 @@
         record = wire.unpack(body) if code in (200, 201) else {}
         state = record.get("status")
         self.replies.append(Answer(began, self.now, node, job, to, code, state, record.get("done")))
-        before = self.checker.jobs[job].told if job in self.checker.jobs else ""
+        before = self.checker.jobs[job].final_state if job in self.checker.jobs else ""
         self._check_answer(to, job, code, state, sent, record.get("done"))
         if state in ("done", "cancelled") and not before:
             self._burst(job)
@@ -941,17 +945,17 @@
     def _check_answer(
         self, to: str, job: str, code: int, state: str | None, sent: float, done: int | None = None
     ) -> None:
-        self.checker.see({
+        self.checker.record({
             "at": self.now, "kind": "answer", "to": to, "job": job, "code": code, "sent": sent,
             "state": state, "done": done,
         })  # fmt: skip
 
     def on_attempt_event(self, kind: str, at: float, worker: Worker, attempt: Attempt) -> None:
-        row = serve.noted(kind, at, worker, attempt)
+        row = serve.attempt_row(kind, at, worker, attempt)
         self.attempt_events.append((at, kind, row))
         if kind == "running":
             return
-        self.checker.see(row)
+        self.checker.record(row)
         known = self.checker.jobs[row["job"]]
         last = known.spec is not None and len(known.done) == known.spec.tasks
         if kind == "off" and row["why"] == "done" and last:
--- a/coveflow/lab/waits.py
+++ b/coveflow/lab/waits.py
@@ -1,8 +1,8 @@
-"""Whether a job waits beside room: a machine that fits, its team under its limit, and no start.
+"""Detects jobs that wait although a machine has room and their team is below its limit.
 
-Fed with samples of what is free on each machine and which tasks are placed. A job waits while some
-task of it is neither placed nor done and could be placed now; for a gang all tasks must fit at
-once. The clock of each job runs only after the last trouble.
+The input are samples of the free capacity of each machine and of the placed tasks. A job waits
+while one of its tasks is neither placed nor done and could be placed now; for a gang all tasks must
+fit at once. Waiting times count only after the last injected fault is over.
 """
 
 from __future__ import annotations
@@ -15,9 +15,12 @@
 from coveflow.core.model import Spec
 from coveflow.settings import Team
 
-WAITED_S = 90.0  # s that a job may wait beside room; the operators' number
-ROOM_S = 6.0  # s that room must last to count: two reports of a worker, between which it is offered
-REPORT_S = 3.0  # s within which an end is told: a report takes 2.5 s, give or take a quarter
+MAX_WAIT_S = 90.0  # the operators' limit on the time that a job may wait although there is room
+# How long capacity must stay free to count as room: two reports of a worker, as the room is
+# offered between them.
+ROOM_LASTS_S = 6.0
+# Within which a task's end is reported: the report interval is 2.5 s plus or minus 25%.
+END_REPORTED_S = 3.0
 EPS = 1e-6
 
 Task = tuple[str, int]  # job and number
@@ -25,8 +28,8 @@
 
 
 @dataclass(frozen=True)
-class MachineRoom:
-    """A machine that is up and can be reached, and what is free on it."""
+class FreeCapacity:
+    """The free capacity of a machine that is up and reachable."""
 
     name: str
     flavor: str
@@ -38,7 +41,7 @@
     cache_gb: float
 
     def fits(self, spec: Spec) -> int:
-        """How many tasks of the job it takes now; 0 where the job does not allow it."""
+        """How many tasks of the job fit now; 0 if the job may not run on this machine."""
         if (
             (spec.types is not None and self.flavor not in spec.types)
             or (spec.zone is not None and spec.zone != self.zone)
@@ -57,9 +60,9 @@
         ]
         return max(0, min(counts, default=spec.tasks))
 
-    def least(self, other: MachineRoom) -> MachineRoom:
-        """What was free in both samples."""
-        return MachineRoom(
+    def minimum(self, other: FreeCapacity) -> FreeCapacity:
+        """The capacity that was free in both samples."""
+        return FreeCapacity(
             self.name, self.flavor, self.zone, self.spot, min(self.cpus, other.cpus),
             min(self.accelerators, other.accelerators), min(self.ram_gb, other.ram_gb),
             self.cache_gb,
@@ -68,44 +71,48 @@
 
 @dataclass
 class OpenJob:
-    """An accepted job that is neither over nor to be cancelled."""
+    """An accepted job that is neither finished nor being cancelled."""
 
     spec: Spec
     done: set[int]
-    placed: dict[int, str] = field(default_factory=dict)  # zones of the tasks on machines, by task
+    placed: dict[int, str] = field(default_factory=dict)  # zone of each task on a machine, by task
 
 
 @dataclass(frozen=True)
-class Waited:
-    """A job that waited too long beside room, and a machine that had some."""
+class LongWait:
+    """A job that waited too long, and a machine that had room for it."""
 
     job: str
     for_s: float
     machine: str
 
 
-class Waits:
+class WaitDetector:
     def __init__(self, teams: dict[str, Team]) -> None:
         self.teams = teams
-        self.calm_at = math.inf  # when the last trouble was over
+        self.faults_over_at = math.inf  # when the last injected fault was over
         self.longest_s = 0.0
-        self.since: dict[str, float] = {}  # when each waiting job's clock began
-        self.samples: dict[str, deque[tuple[float, MachineRoom]]] = {}
-        self.held: dict[Task, tuple[float, Spec]] = {}  # when each was last on a machine
+        self.since: dict[str, float] = {}  # since when each waiting job has waited
+        self.samples: dict[str, deque[tuple[float, FreeCapacity]]] = {}
+        # When each task was last seen on a machine.
+        self.recent_tasks: dict[Task, tuple[float, Spec]] = {}
 
-    def look(
+    def update(
         self,
         at: float,
-        machines: Iterable[MachineRoom],
+        machines: Iterable[FreeCapacity],
         jobs: dict[str, OpenJob],
         placed: dict[Task, Spec],
-    ) -> list[Waited]:
-        """A sample of the machines, of the jobs that may wait, and of all tasks on machines."""
-        rooms, used = self._lasting(at, machines), self._held(at, placed)
-        if at < self.calm_at:
+    ) -> list[LongWait]:
+        """Add a sample of the machines, the open jobs and all placed tasks.
+
+        Returns the jobs that have waited for MAX_WAIT_S; their waiting time then starts again.
+        """
+        rooms, used = self._lasting_capacity(at, machines), self._team_usage(at, placed)
+        if at < self.faults_over_at:
             self.since.clear()
             return []
-        found: list[Waited] = []
+        found: list[LongWait] = []
         waiting: dict[str, float] = {}
         for name, job in jobs.items():
             machine = self._room_for(job, rooms, used)
@@ -113,44 +120,46 @@
                 continue
             since = waiting[name] = self.since.get(name, at)
             self.longest_s = max(self.longest_s, at - since)
-            if at - since >= WAITED_S:
-                found.append(Waited(name, at - since, machine))
+            if at - since >= MAX_WAIT_S:
+                found.append(LongWait(name, at - since, machine))
                 waiting[name] = at
         self.since = waiting
         return found
 
-    def _lasting(self, at: float, machines: Iterable[MachineRoom]) -> list[MachineRoom]:
-        """What has been free on each machine for some time; what turns over is no room."""
-        kept: dict[str, deque[tuple[float, MachineRoom]]] = {}
-        rooms: list[MachineRoom] = []
+    def _lasting_capacity(self, at: float, machines: Iterable[FreeCapacity]) -> list[FreeCapacity]:
+        """What has been free on each machine for ROOM_LASTS_S, so that it counts as room."""
+        kept: dict[str, deque[tuple[float, FreeCapacity]]] = {}
+        rooms: list[FreeCapacity] = []
         for machine in machines:
             samples = kept[machine.name] = self.samples.get(machine.name, deque())
             samples.append((at, machine))
-            while len(samples) > 1 and samples[1][0] <= at - ROOM_S:
+            while len(samples) > 1 and samples[1][0] <= at - ROOM_LASTS_S:
                 samples.popleft()
-            if samples[0][0] > at - ROOM_S:
+            if samples[0][0] > at - ROOM_LASTS_S:
                 continue
             least = machine
             for _, sample in samples:
-                least = least.least(sample)
+                least = least.minimum(sample)
             rooms.append(least)
         self.samples = kept
         return rooms
 
-    def _held(self, at: float, placed: dict[Task, Spec]) -> dict[str, Usage]:
-        """What each team holds: a task's end is told with a report, and counts until then."""
-        self.held.update({task: (at, spec) for task, spec in placed.items()})
-        self.held = {
-            task: (seen, spec) for task, (seen, spec) in self.held.items() if at - seen < REPORT_S
+    def _team_usage(self, at: float, placed: dict[Task, Spec]) -> dict[str, Usage]:
+        """The usage of each team; a task counts until a report has shown its end."""
+        self.recent_tasks.update({task: (at, spec) for task, spec in placed.items()})
+        self.recent_tasks = {
+            task: (seen, spec)
+            for task, (seen, spec) in self.recent_tasks.items()
+            if at - seen < END_REPORTED_S
         }
         used: dict[str, Usage] = {}
-        for _, spec in self.held.values():
+        for _, spec in self.recent_tasks.values():
             cpus, accelerators = used.get(spec.team, (0.0, 0.0))
             used[spec.team] = (cpus + spec.cpus, accelerators + spec.accelerators)
         return used
 
-    def _room_for(self, job: OpenJob, rooms: list[MachineRoom], used: dict[str, Usage]) -> str:
-        """A machine that could take a task of the job now, or "" if none can or none waits."""
+    def _room_for(self, job: OpenJob, rooms: list[FreeCapacity], used: dict[str, Usage]) -> str:
+        """A machine with room for a task of the job; "" if there is none or no task waits."""
         spec = job.spec
         missing = spec.tasks - len(job.done | set(job.placed))
         if not missing or (spec.kind == "gang" and job.placed):
@@ -165,17 +174,17 @@
             if fits:
                 free[room.zone] += fits
                 names.setdefault(room.zone, room.name)
-        there = Counter(job.placed.values())
+        placed_by_zone = Counter(job.placed.values())
         if spec.one_zone:
-            zones = [zone for zone in free if not there or there[zone]]
-            most = max((free[zone] for zone in zones), default=0)
+            zones = [zone for zone in free if not placed_by_zone or placed_by_zone[zone]]
+            fitting = max((free[zone] for zone in zones), default=0)
         elif spec.spread:
-            crowd = (spec.tasks + 1) // 2
-            zones = [zone for zone in free if there[zone] < crowd]
-            most = sum(min(free[zone], crowd - there[zone]) for zone in zones)
+            zone_limit = (spec.tasks + 1) // 2
+            zones = [zone for zone in free if placed_by_zone[zone] < zone_limit]
+            fitting = sum(min(free[zone], zone_limit - placed_by_zone[zone]) for zone in zones)
         else:
-            zones, most = list(free), sum(free.values())
-        return names[zones[0]] if zones and most >= count else ""
+            zones, fitting = list(free), sum(free.values())
+        return names[zones[0]] if zones and fitting >= count else ""
 
     def _under_limit(self, spec: Spec, count: int, used: dict[str, Usage]) -> bool:
         team = self.teams.get(spec.team)
--- a/coveflow/lab/worker.py
+++ b/coveflow/lab/worker.py
@@ -1,4 +1,4 @@
-"""One rented machine: images, tasks, leases, sessions and tokens, as the protocol has them."""
+"""Model of the worker on one rented machine: images, tasks, lease, session and fencing token."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from typing import Any
 
 from coveflow.core.model import Flavor, Order, Report, TaskReport
-from coveflow.lab.truth import Truth
+from coveflow.lab.truth import GroundTruth
 
 INF = math.inf
 Key = tuple[str, int, int]
@@ -23,11 +23,11 @@
     state: str = "pulling"
     why: str | None = None
     kept: bool = False
-    began: float | None = None
-    ends: float = INF  # when it changes by itself
-    base: float = 0.0  # s of work done before it began
-    flushed: float = INF  # gang: when its part is saved
-    on: bool = False  # on its machine: from its image until its end
+    started_at: float | None = None
+    ends: float = INF  # when its state next changes without an order
+    base_progress: float = 0.0  # seconds of work done before it started
+    saved_at: float = INF  # gang: when this task's part of the checkpoint is saved
+    on_machine: bool = False  # occupies the machine: from the arrival of its image until it exits
 
     @property
     def key(self) -> Key:
@@ -36,7 +36,7 @@
 
 @dataclass
 class Limits:
-    """s; the deployment's `workers`."""
+    """The `workers` settings of the deployment, in seconds."""
 
     report_s: float
     lease_s: float
@@ -46,10 +46,12 @@
 
 
 class Worker:
-    """Time is handed in; `next_at` tells when something happens by itself.
+    """Reports to a controller and runs tasks; the caller passes the time to each method.
 
-    `slow` is the run time on this machine over that on one of speed 1. `note(kind, at, attempt)`
-    hears what a checker needs: `on` and `off` as a task comes on and off the machine.
+    `next_at` returns the time of the next internal event. `slow` is the run time on this machine
+    divided by the run time on a machine of speed 1. `note(kind, at, worker, attempt)` is called for
+    each event that a checker needs: `on` and `off` when a task starts and stops occupying the
+    machine, and `running` when it starts to run.
     """
 
     def __init__(
@@ -60,7 +62,7 @@
         zone: str,
         spot: bool,
         limits: Limits,
-        truth: Truth,
+        truth: GroundTruth,
         now: float,
         slow: float = 1.0,
         fetch_part: float = 1.0,
@@ -72,60 +74,60 @@
         self.slow = slow
         self.fetch_rate = flavor.fetch_gb_per_s * fetch_part
         self.tenure, self.counter, self.epoch = 1, 0, 0
-        self.lease_from = now  # when its last answered report was sent, or its session began
-        self.taken_at = INF  # end announced by a spot notice
+        self.lease_renewed_at = now  # when the last answered report was sent or the session started
+        self.reclaim_at = INF  # time of the reclaim that a spot notice announced
         self.tasks: dict[Key, Attempt] = {}
         self.images: OrderedDict[str, float] = OrderedDict()
-        self.fetches: OrderedDict[str, float] = OrderedDict()  # GB left
+        self.fetches: OrderedDict[str, float] = OrderedDict()  # GB left to fetch, by image
         self.fetched_at = now
         self.alive = True
         self.hung_at: float | None = None
-        self.sick = False  # every task fails as it starts
+        self.sick = False  # every task fails when it starts
         self.changed = False
-        self.epoch_told = -INF
+        self.epoch_reported_at = -INF
 
     # --- time --------------------------------------------------------------------------
 
     def next_at(self) -> float:
         if not self.alive or self.hung_at is not None:
             return INF
-        at = self.lease_from + self.limits.lease_s
+        at = self.lease_renewed_at + self.limits.lease_s
         if self.fetches:
-            at = min(at, self.fetched_at + min(self.fetches.values()) / self._share())
+            at = min(at, self.fetched_at + min(self.fetches.values()) / self._rate_per_fetch())
         for attempt in self.tasks.values():
             if attempt.ends < at:
                 at = attempt.ends
         return at
 
-    def _share(self) -> float:
+    def _rate_per_fetch(self) -> float:
         return self.fetch_rate / max(1, len(self.fetches))
 
     def advance(self, now: float) -> None:
-        """Let everything happen that is due, in its order."""
+        """Process all internal events that are due, in order of time."""
         while True:
             at = self.next_at()
             if at > now:
                 break
             self._fetch(at)
-            if at >= self.lease_from + self.limits.lease_s:
-                self.expire(at)
+            if at >= self.lease_renewed_at + self.limits.lease_s:
+                self.expire_lease(at)
                 continue
             for attempt in [a for a in self.tasks.values() if a.ends <= at]:
-                self._due(attempt, at)
+                self._handle_due(attempt, at)
         self._fetch(now)
 
     def _fetch(self, now: float) -> None:
-        """Images being fetched share the rate; what has come starts its tasks."""
+        """Advance the image fetches, which share the rate; a complete image starts its tasks."""
         if self.hung_at is None and self.fetches:
-            got = (now - self.fetched_at) * self._share()
+            got = (now - self.fetched_at) * self._rate_per_fetch()
             for image in list(self.fetches):
                 self.fetches[image] -= got
                 if self.fetches[image] <= 1e-9:
                     del self.fetches[image]
-                    self._cache(image, now)
+                    self._add_image(image, now)
         self.fetched_at = now
 
-    def _cache(self, image: str, now: float) -> None:
+    def _add_image(self, image: str, now: float) -> None:
         size = max(
             (self.truth.specs[a.job].image_gb for a in self.tasks.values() if
              self.truth.specs[a.job].image == image), default=0.0,
@@ -136,103 +138,105 @@
             self.images.popitem(last=False)
         for attempt in list(self.tasks.values()):
             if attempt.state == "pulling" and self.truth.specs[attempt.job].image == image:
-                self._has_image(attempt, now)
+                self._image_ready(attempt, now)
 
-    def _has_image(self, attempt: Attempt, now: float) -> None:
-        attempt.on = True
+    def _image_ready(self, attempt: Attempt, now: float) -> None:
+        attempt.on_machine = True
         self.note("on", now, self, attempt)
         self.changed = True
         if (attempt.job, attempt.task) in self.truth.done:
-            self.exits(attempt, "done", now)
-        elif self.sick or attempt.job in self.truth.broken:
-            self.exits(attempt, "error", now)
+            self.record_exit(attempt, "done", now)
+        elif self.sick or attempt.job in self.truth.failing_jobs:
+            self.record_exit(attempt, "error", now)
         elif self.truth.specs[attempt.job].kind == "gang":
             self.truth.gang(attempt.job, attempt.number).join(self, attempt, now)
         else:
-            left = self.truth.left(attempt.job, attempt.task)
-            attempt.base = 0.0 if left == INF else (
-                self.truth.length(attempt.job, attempt.task) - left
+            left = self.truth.remaining_s(attempt.job, attempt.task)
+            attempt.base_progress = 0.0 if left == INF else (
+                self.truth.run_time_s(attempt.job, attempt.task) - left
             )  # fmt: skip
-            self.starts(attempt, now)
+            self.record_start(attempt, now)
             attempt.ends = now + left * self.slow
 
-    def starts(self, attempt: Attempt, now: float) -> None:
-        attempt.state, attempt.began = "running", now
-        self._touch()
+    def record_start(self, attempt: Attempt, now: float) -> None:
+        attempt.state, attempt.started_at = "running", now
+        self._mark_changed()
         self.note("running", now, self, attempt)
 
-    def _due(self, attempt: Attempt, now: float) -> None:
+    def _handle_due(self, attempt: Attempt, now: float) -> None:
         if attempt.state == "waiting":
-            self.exits(attempt, "alone", now)
+            self.record_exit(attempt, "alone", now)
             self.truth.gang(attempt.job, attempt.number).leave(attempt.task, now)
         elif attempt.state == "running":
             self.truth.done.add((attempt.job, attempt.task))
-            self.exits(attempt, "done", now)
+            self.record_exit(attempt, "done", now)
         elif attempt.state == "flushing":
-            self.truth.keep(attempt.job, attempt.task, attempt.base)
+            self.truth.save_progress(attempt.job, attempt.task, attempt.base_progress)
             attempt.kept = True
-            self.exits(attempt, "halted", now)
+            self.record_exit(attempt, "halted", now)
 
     def finish(self, key: Key, now: float) -> None:
-        """The task's process ended by itself, and its word is kept: it is done."""
+        """Record that the task's process exited and a controller has stored its result."""
         attempt = self.tasks.get(key)
         if attempt is None or attempt.state not in ("running", "flushing"):
             return
         if self.truth.specs[attempt.job].kind == "gang":
-            self.truth.gang(attempt.job, attempt.number).finish(attempt.task, now)
+            self.truth.gang(attempt.job, attempt.number).finish_task(attempt.task, now)
             return
         self.truth.done.add((attempt.job, attempt.task))
-        self.exits(attempt, "done", now)
+        self.record_exit(attempt, "done", now)
 
-    def exits(self, attempt: Attempt, why: str, now: float) -> None:
+    def record_exit(self, attempt: Attempt, why: str, now: float) -> None:
         attempt.state, attempt.why, attempt.ends = "exited", why, INF
-        self._touch()
-        if attempt.on:
-            self._off(attempt, now)
+        self._mark_changed()
+        if attempt.on_machine:
+            self._leave_machine(attempt, now)
         else:
-            self._give_up_fetches()
+            self._drop_unused_fetches()
 
-    def _off(self, attempt: Attempt, now: float) -> None:
-        if attempt.on:
-            attempt.on = False
+    def _leave_machine(self, attempt: Attempt, now: float) -> None:
+        if attempt.on_machine:
+            attempt.on_machine = False
             self.note("off", now, self, attempt)
 
-    def _touch(self) -> None:
+    def _mark_changed(self) -> None:
         self.changed = True
-        self.truth.touched[self] = None
+        self.truth.changed_workers[self] = None
 
     def _progress(self, attempt: Attempt, now: float) -> float:
-        if attempt.began is None:
-            return attempt.base
-        return attempt.base + (now - attempt.began) / self.slow
+        if attempt.started_at is None:
+            return attempt.base_progress
+        return attempt.base_progress + (now - attempt.started_at) / self.slow
 
-    def expire(self, now: float) -> None:
-        """Its lease is over: it kills and forgets all its tasks and begins a new session."""
-        self._lose(now)
+    def expire_lease(self, now: float) -> None:
+        """The lease expired: kill and forget all tasks and start a new session."""
+        self._kill_all(now)
         self.tenure += 1
-        self.lease_from = now
+        self.lease_renewed_at = now
         self.changed = True
 
-    def _lose(self, now: float) -> None:
+    def _kill_all(self, now: float) -> None:
         for attempt in list(self.tasks.values()):
             if attempt.state == "exited":
                 continue
             if self.truth.specs[attempt.job].kind == "gang":
                 self.truth.gang(attempt.job, attempt.number).leave(attempt.task, now)
             elif attempt.state in ("running", "flushing"):
-                self.truth.fall_back(attempt.job, attempt.task, self._progress(attempt, now))
+                self.truth.save_last_checkpoint(
+                    attempt.job, attempt.task, self._progress(attempt, now)
+                )
             attempt.state, attempt.why, attempt.ends = "exited", "killed", INF
-            self._off(attempt, now)
+            self._leave_machine(attempt, now)
         self.tasks.clear()
         self.fetches.clear()
 
     # --- faults ------------------------------------------------------------------------
 
-    def die(self, now: float) -> None:
-        """Gone with everything on it: returned, taken or failed."""
+    def terminate(self, now: float) -> None:
+        """End the machine and all its tasks: it was returned, reclaimed or has failed."""
         if self.alive:
             self.advance(now)
-            self._lose(now)
+            self._kill_all(now)
             self.alive = False
 
     def hang(self, now: float) -> None:
@@ -252,17 +256,18 @@
         self.hung_at, self.fetched_at = None, now
         for attempt in self.tasks.values():
             attempt.ends += pause
-            if attempt.began is not None:
-                attempt.began += pause
+            if attempt.started_at is not None:
+                attempt.started_at += pause
         for attempt in [a for a in self.tasks.values() if a.state in ("running", "flushing")]:
             if self.truth.specs[attempt.job].kind == "gang" and not (
-                self.truth.gang(attempt.job, attempt.number).has(self, attempt)
+                self.truth.gang(attempt.job, attempt.number).has_member(self, attempt)
             ):
-                # Its mates missed it and are gone; where all were here it once ran on for ever.
-                self.exits(attempt, "mates_gone", now)
-        if now >= self.lease_from + self.limits.lease_s:
-            # Only now does it notice, and its tasks were on it until now.
-            self.expire(now)
+                # The other tasks of the gang timed out on this one and have exited. Without
+                # this exit a gang with all its tasks on this machine would run forever.
+                self.record_exit(attempt, "mates_gone", now)
+        if now >= self.lease_renewed_at + self.limits.lease_s:
+            # The worker notices the expiry only now, so its tasks ran until now.
+            self.expire_lease(now)
         self.advance(now)
 
     # --- reports and orders --------------------------------------------------------------
@@ -271,7 +276,7 @@
         self.advance(now)
         self.counter += 1
         self.changed = False
-        notice = None if self.taken_at == INF else max(0.0, self.taken_at - now)
+        notice = None if self.reclaim_at == INF else max(0.0, self.reclaim_at - now)
         tasks = [
             TaskReport(a.job, a.task, a.number, a.state, a.why, a.kept) for a in self.tasks.values()
         ]
@@ -280,34 +285,37 @@
             self.counter, self.epoch, notice, tasks,
         )  # fmt: skip
 
-    def answered(
+    def receive_answer(
         self, tenure: int, sent: float, epoch: int | None, orders: list[Order], now: float
     ) -> bool:
-        """An answer to a report of that session; False where it has to be dropped."""
+        """Apply an answer to a report of session `tenure`; False if it has to be dropped."""
         self.advance(now)
         if not self.alive or tenure != self.tenure or epoch is None or epoch < self.epoch:
             return False
-        self._token(epoch, now)
-        self.lease_from = max(self.lease_from, sent)
-        self.obey(orders, now)
+        self._accept_epoch(epoch, now)
+        self.lease_renewed_at = max(self.lease_renewed_at, sent)
+        self.apply_orders(orders, now)
         return True
 
-    def commanded(self, body: dict[str, Any], orders: list[Order], now: float) -> bool:
-        """Direct commands; they do not renew the lease. False: token or session do not match."""
+    def receive_commands(self, body: dict[str, Any], orders: list[Order], now: float) -> bool:
+        """Apply direct commands, which do not renew the lease.
+
+        False if the token is old or the session is another one.
+        """
         self.advance(now)
         if body["epoch"] < self.epoch or body["tenure"] != self.tenure:
             return False
-        self._token(body["epoch"], now)
-        self.obey(orders, now)
+        self._accept_epoch(body["epoch"], now)
+        self.apply_orders(orders, now)
         return True
 
-    def _token(self, epoch: int, now: float) -> None:
+    def _accept_epoch(self, epoch: int, now: float) -> None:
         if epoch > self.epoch:
             self.epoch = epoch
-            if now - self.epoch_told >= self.limits.lease_s / 2:
-                self.epoch_told, self.changed = now, True
+            if now - self.epoch_reported_at >= self.limits.lease_s / 2:
+                self.epoch_reported_at, self.changed = now, True
 
-    def obey(self, orders: list[Order], now: float) -> None:
+    def apply_orders(self, orders: list[Order], now: float) -> None:
         for order in orders:
             key = (order.job, order.task, order.number)
             attempt = self.tasks.get(key)
@@ -329,7 +337,7 @@
         if spec.image in self.images or spec.image_gb <= 0:
             if spec.image in self.images:
                 self.images.move_to_end(spec.image)
-            self._has_image(attempt, now)
+            self._image_ready(attempt, now)
         elif spec.image not in self.fetches:
             self._fetch(now)
             self.fetches[spec.image] = spec.image_gb
@@ -358,21 +366,21 @@
         if attempt.state == "flushing" and grace_s > 0:
             return
         if spec.kind == "gang" and attempt.state in ("running", "flushing"):
-            self.truth.gang(attempt.job, attempt.number).stopped(self, attempt, grace_s, now)
+            self.truth.gang(attempt.job, attempt.number).stop_task(self, attempt, grace_s, now)
             return
         if attempt.state in ("running", "flushing") and spec.checkpoint_s > 0:
             if grace_s >= spec.save_s and attempt.state == "running":
-                attempt.base = self._progress(attempt, now)
-                attempt.began = None
+                attempt.base_progress = self._progress(attempt, now)
+                attempt.started_at = None
                 attempt.state, attempt.ends = "flushing", now + spec.save_s
                 self.changed = True
                 return
-            self.truth.fall_back(attempt.job, attempt.task, self._progress(attempt, now))
-        self.exits(attempt, "halted", now)
+            self.truth.save_last_checkpoint(attempt.job, attempt.task, self._progress(attempt, now))
+        self.record_exit(attempt, "halted", now)
         if spec.kind == "gang":
             self.truth.gang(attempt.job, attempt.number).leave(attempt.task, now)
 
-    def _give_up_fetches(self) -> None:
+    def _drop_unused_fetches(self) -> None:
         wanted = {
             self.truth.specs[a.job].image for a in self.tasks.values() if a.state == "pulling"
         }
--- a/coveflow/lab/workload.py
+++ b/coveflow/lab/workload.py
@@ -1,4 +1,4 @@
-"""Jobs drawn from classes: open-loop arrivals with seeded sizes and estimates."""
+"""Generates jobs from job classes: open-loop arrivals with seeded sizes and estimates."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 import numpy as np
 
 from coveflow.core.model import Spec
-from coveflow.lab.site import Class, Site
-from coveflow.lab.truth import drawer
+from coveflow.lab.site import JobClass, Site
+from coveflow.lab.truth import run_time_sampler
 
 
 def _lognormal(rng: np.random.Generator, law: tuple[float, float, float]) -> float:
@@ -19,18 +19,18 @@
 
 
 def run_times(site: Site) -> Callable[[Spec], list[float]]:
-    """How long tasks of the site's classes run, by its seed; s per task on speed 1."""
-    return drawer(site.seed, {k.name: k.run_s for k in site.classes})
+    """Sampler of run times for the site's classes and seed: seconds per task at speed 1."""
+    return run_time_sampler(site.seed, {k.name: k.run_s for k in site.classes})
 
 
 def draw(site: Site, length_s: float, factor: float = 1.0) -> list[tuple[float, Spec]]:
-    """Arrivals within `length_s`, in order: (s after the start, job).
+    """Arrivals within `length_s`, in order: (seconds after the start, job).
 
-    `factor` scales the rates. Each class has a stream of its own, so that changing one class
-    leaves the others' jobs as they were.
+    `factor` scales the rates. Each class has its own random stream, so that a change to one class
+    doesn't change the jobs of the others.
     """
     lengths = run_times(site)
-    found: list[tuple[float, str, Class, int]] = []
+    found: list[tuple[float, str, JobClass, int]] = []
     for index, kind in enumerate(site.classes):
         rng = np.random.default_rng([site.seed, 11, index])
         times = [0.0] * kind.initial
@@ -46,7 +46,7 @@
     jobs = []
     for at, _, kind, number in found:
         index = site.classes.index(kind)
-        # By class and number, never by place in the order: the same job at any factor.
+        # Named by class and number, not by arrival order: the same job has one name at any factor.
         name = f"j-{site.seed:03d}{index:02d}{number:06d}"
         jobs.append((at, job(site, kind, index, number, name, lengths)))
     return jobs
@@ -54,7 +54,7 @@
 
 def job(
     site: Site,
-    kind: Class,
+    kind: JobClass,
     index: int,
     number: int,
     name: str,
--- a/coveflow/lab/worlds.py
+++ b/coveflow/lab/worlds.py
@@ -170,7 +170,7 @@
             calm_at = case.begin_s + max((t.at + t.for_s for t in case.faults), default=0.0)
             free_capacity.watch(world, calm_at)
             if case.polls:
-                world.checker.calm_at = calm_at
+                world.checker.faults_over_at = calm_at
             first_leader: list[str] = []
             for fault in case.faults:
                 world.at(
@@ -199,7 +199,7 @@
     result.deaf = why.count("does not hear")
     result.silent_s = world.checker.silent_s
     result.waited_s = world.checker.waits.longest_s
-    result.late_starts = dict(world.checker.late.counts)
+    result.late_starts = dict(world.checker.late_starts.counts)
     result.done_fell = world.checker.done_fell
     result.failures, result.lost, result.moved = lines.errors, lines.lost, _relocation_times(world)
     return result
--- a/coveflow/whatif/simulate.py
+++ b/coveflow/whatif/simulate.py
@@ -16,10 +16,10 @@
 from coveflow.core.model import Flavor, Spec
 from coveflow.core.wait_reasons import NO_LEADER, wait_reason
 from coveflow.daemon.commands import DrainRequest, HeldTasksDecision
-from coveflow.lab.cloud import Boots, Cloud, Known
+from coveflow.lab.cloud import BootTimes, Cloud, FixedProperties
 from coveflow.lab.replies import Reply
 from coveflow.lab.store import Store
-from coveflow.lab.truth import INF, Truth
+from coveflow.lab.truth import INF, GroundTruth
 from coveflow.settings import Member, Services, Settings
 from coveflow.whatif.changes import Changes
 from coveflow.whatif.replay import Arrival, Replay
@@ -227,7 +227,7 @@
         capacity = self._capacity()
         cloud = Cloud(
             self.flavors, capacity, replay.params.cloud.list_lag_s, self.seed,
-            boots=Boots(), recorded=self._recorded(), names="x",
+            boots=BootTimes(), recorded=self._recorded(), names="x",
         )  # fmt: skip
         self.rentals = {key: 0 for key in replay.names}
         # Changes are paced by the node's own budget, so the model's limits are not met again.
@@ -236,7 +236,7 @@
         world = World(
             settings_of=settings.__getitem__,
             tuning=self.tuning,
-            truth=Truth(
+            truth=GroundTruth(
                 lambda spec: self.lengths[spec.id], workers.gang_peer_s, workers.gang_wait_s
             ),
             store=store,
@@ -249,8 +249,8 @@
         )
         for up in self._machines():
             key = (up.type, up.zone, up.spot)
-            known = Known(up.name, None, self._slow(up.name), replay.fetch.get(up.name))
-            cloud.keep(key)
+            known = FixedProperties(up.name, None, self._slow(up.name), replay.fetch.get(up.name))
+            cloud.reserve_place(key)
             world.at(up.at, lambda key=key, known=known: self._begin(key, known))
         return world
 
@@ -273,11 +273,11 @@
                 continue
             yield up
 
-    def _begin(self, key: tuple[str, str, bool], known: Known) -> None:
+    def _begin(self, key: tuple[str, str, bool], known: FixedProperties) -> None:
         world = self.world
         if key[0] not in world.cloud.flavors:
             return
-        world.cloud.there(key, known, world.now)
+        world.cloud.add_machine(key, known, world.now)
         host = world.cloud.hosts[known.name or ""]
 
         def fill() -> None:
@@ -297,19 +297,19 @@
     def _recorded(self):
         """Machines are rented in the recorded order first; then boots are drawn from those."""
 
-        def known(key: tuple[str, str, bool]) -> Known:
+        def known(key: tuple[str, str, bool]) -> FixedProperties:
             number = self.rentals.get(key, 0)
             self.rentals[key] = number + 1
             names, boots = self.replay.names.get(key, []), self.replay.boots.get(key, [])
             factor = self._boot_factor(key[0])
             if number < len(names):
                 name = names[number]
-                return Known(name, boots[number] * factor, self._slow(name),
+                return FixedProperties(name, boots[number] * factor, self._slow(name),
                              self.replay.fetch.get(name))  # fmt: skip
             if boots:
                 boot = boots[int(self.draws.rng.integers(len(boots)))] * factor
-                return Known(None, boot, self.draws.slow(), None)
-            return Known(None, None, self.draws.slow(), None)
+                return FixedProperties(None, boot, self.draws.slow(), None)
+            return FixedProperties(None, None, self.draws.slow(), None)
 
         return known
 
@@ -342,7 +342,7 @@
                 world.at(late, lambda job=spec.id: self._cancel(job))
         for (name, zone, spot), count in changes.machines.items():
             for n in range(max(0, count)):
-                known = Known(f"added-{name}-{zone}-{n}", None, self.draws.slow())
+                known = FixedProperties(f"added-{name}-{zone}-{n}", None, self.draws.slow())
                 key = (name, zone, spot)
                 world.at(0.0, lambda key=key, known=known: self._begin(key, known))
         for at, name in [*replay.losses, *changes.losses]:
@@ -380,9 +380,9 @@
     def _notice(self, name: str, notice_s: float) -> None:
         post = self.world.posts.get(name)
         if post is not None:
-            post.worker.taken_at = self.world.now + notice_s
+            post.worker.reclaim_at = self.world.now + notice_s
             post.worker.changed = True
-            self.world.at(notice_s, lambda: self.world.cloud.take(name, self.world.now))
+            self.world.at(notice_s, lambda: self.world.cloud.reclaim(name, self.world.now))
 
     def _drain(self, name: str, on: bool) -> None:
         leader = self.world.leader()
@@ -503,7 +503,7 @@
         for job in self.jobs.values():
             known = leader.state.jobs.get(job.id) if leader is not None else None
             job.held = len(known.held) if known is not None else 0
-        broken = [f"{b.rule} at {b.at:.1f} s: {b.text}" for b in world.checker.broken]
+        broken = [f"{b.rule} at {b.at:.1f} s: {b.text}" for b in world.checker.violations]
         if self.jobs:
             world.checker.finish(world.now)
         kinds = {h.name: (h.flavor.name, h.zone, h.spot) for h in world.cloud.hosts.values()}
--- a/coveflow/whatif/world.py
+++ b/coveflow/whatif/world.py
@@ -24,8 +24,8 @@
 from coveflow.lab.check import Checker
 from coveflow.lab.cloud import Cloud, Host
 from coveflow.lab.replies import Reply
-from coveflow.lab.store import Failed, Rate, Store
-from coveflow.lab.truth import INF, Truth
+from coveflow.lab.store import ConditionFailed, RateLimit, Store
+from coveflow.lab.truth import INF, GroundTruth
 from coveflow.lab.worker import Attempt, Worker
 from coveflow.settings import Settings, Tuning
 from coveflow.state import keys as sk
@@ -70,7 +70,7 @@
 class World:
     settings_of: Callable[[str], Settings]
     tuning: Tuning
-    truth: Truth
+    truth: GroundTruth
     store: Store
     cloud: Cloud
     network: Network = field(default_factory=Network)
@@ -88,7 +88,7 @@
         self.direct: set[cm.DirectRequest] = set()  # without an answer yet
         self.deaf: dict[str, float] = {}  # nodes whose watch is late, though they can write
         self.store_down_until = self.cloud_down_until = 0.0
-        self.budget: dict[str, Rate] = {}
+        self.budget: dict[str, RateLimit] = {}
         self.gang_at = INF
         self.submitted: dict[str, Spec] = {}
         self.cancelled: dict[str, float] = {}
@@ -138,7 +138,7 @@
             rev = self.store.commit(
                 guards, {key: (value, None) for key, value in writes.items()}, self.now
             )
-        except Failed as conflict:
+        except ConditionFailed as conflict:
             return conflict.keys
         changed = []
         for key, value in writes.items():
@@ -169,7 +169,7 @@
         status = record["status"]
         self.over.setdefault(job, (status, self.now))
         if record.get("rider") is None:  # others are told by their own interface only
-            self.checker.see(
+            self.checker.record(
                 {"at": self.now, "kind": "answer", "to": "poll", "job": job, "code": 200,
                  "state": status}
             )  # fmt: skip
@@ -186,7 +186,7 @@
         owner.context.effects = lambda kind, data: self.effect(name, owner, kind, data)
         owner.context.encode_answer = lambda epoch, orders: (epoch, orders)
         owner.context.pass_duration_s = self.pass_s
-        self.budget[name] = Rate(self._write_rps())
+        self.budget[name] = RateLimit(self._write_rps())
         self.budget[name].at = self.now
         self.owners[name] = owner
         self.booted(name, owner)
@@ -280,7 +280,7 @@
             return
         body = {"epoch": request.epoch, "tenure": request.tenure}
         if request.stops:
-            worker.commanded(body, request.stops, self.now)
+            worker.receive_commands(body, request.stops, self.now)
         report = worker.report(self.now)
         self._touched()
         self._schedule(post)
@@ -393,7 +393,7 @@
             self.at(later, lambda: self.give_back(name, owner, machines, epoch))
             return
         machines = owner.machine_manager.still_to_return(machines)
-        self.cloud.give_back(machines, self.now)
+        self.cloud.return_machines(machines, self.now)
         self.at(self.network.cloud(), lambda: owner.process_batch([cm.MachinesReturned(machines)]))
 
     def _rented(self, host: Host) -> None:
@@ -417,7 +417,7 @@
     def _machine_gone(self, host: Host, now: float) -> None:
         post = self.posts.pop(host.name, None)
         if post is not None:
-            post.worker.die(now)
+            post.worker.terminate(now)
             post.next = INF
             self._touched()
             self.told("gone", machine=host.name)
@@ -428,7 +428,7 @@
         """Accepted at once, as `Front` does after its commit; a rider is another interface's."""
         self.submitted[spec.id] = spec
         self.truth.upload(spec)
-        self.checker.see({"at": self.now, "kind": "submit", "job": spec.id, "spec": spec})
+        self.checker.record({"at": self.now, "kind": "submit", "job": spec.id, "spec": spec})
         record = {"spec": msgspec.to_builtins(spec), "at": self.now}
         if rider is not None:
             record["rider"] = rider
@@ -440,8 +440,8 @@
             return
         self.write({sk.JOB + job: {**row.value, "cancel": self.now}}, {sk.JOB + job: row.rev})
         self.cancelled[job] = self.now
-        self.checker.see({"at": self.now, "kind": "cancel", "job": job})
-        self.checker.see(
+        self.checker.record({"at": self.now, "kind": "cancel", "job": job})
+        self.checker.record(
             {"at": self.now, "kind": "answer", "to": "cancel", "job": job, "code": 200,
              "state": "cancelled"}
         )  # fmt: skip
@@ -450,7 +450,7 @@
 
     def _note(self, kind: str, at: float, worker: Worker, attempt: Attempt) -> None:
         if kind != "running":
-            self.checker.see({
+            self.checker.record({
                 "at": at, "kind": kind, "job": attempt.job, "task": attempt.task,
                 "machine": worker.name, "type": worker.flavor.name, "zone": worker.zone,
                 "spot": worker.spot, "why": attempt.why,
@@ -492,8 +492,8 @@
 
     def _touched(self) -> None:
         """Others whose tasks changed with a gang, and the gangs' own next moment."""
-        if self.truth.touched:
-            touched, self.truth.touched = self.truth.touched, {}
+        if self.truth.changed_workers:
+            touched, self.truth.changed_workers = self.truth.changed_workers, {}
             for worker in touched:
                 post = self.posts.get(worker.name)
                 if post is not None:
@@ -536,7 +536,7 @@
         answer would have waited a while for new work; `_settled` makes up for that.
         """
         worker = post.worker
-        if worker.changed or worker.taken_at < INF or post.cut_until > self.now:
+        if worker.changed or worker.reclaim_at < INF or post.cut_until > self.now:
             return False
         leader = self.owners.get(post.node)
         if leader is None or not leader.leading or worker.epoch != leader.leading:
@@ -604,7 +604,7 @@
         if post.waiting != report.counter or post.cut_until > self.now or not worker.alive:
             return
         post.waiting = 0
-        worker.answered(report.tenure, sent, epoch, orders, self.now)
+        worker.receive_answer(report.tenure, sent, epoch, orders, self.now)
         post.due = max(self.now, sent + self._period())
         self._touched()
         self._schedule(post)
--- a/tests/tes_nodes.py
+++ b/tests/tes_nodes.py
@@ -15,7 +15,7 @@
 from coveflow.daemon import commands as cm
 from coveflow.daemon import owner as o
 from coveflow.daemon.user_api import UserApi
-from coveflow.lab.store import Failed
+from coveflow.lab.store import ConditionFailed
 from coveflow.lab.store import Store as Model
 from coveflow.membership.peers import Peers
 from coveflow.net.http import TokenBucket, Unavailable, UnknownOutcome
@@ -70,7 +70,7 @@
             rev = self.model.commit(
                 guards, {k: (copy.deepcopy(v), None) for k, v in writes.items()}, self.clock()
             )
-        except Failed as failed:
+        except ConditionFailed as failed:
             raise Conflict(failed.keys) from None
         if writes and self.lost_answers:
             self.lost_answers -= 1
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -1,4 +1,7 @@
-"""The rules that the operators' letter adds: what breaks one is noticed, what keeps it is not."""
+"""The checker reports violations of its additional rules, and accepts what the rules allow.
+
+The rules concern jobs that wait although there is room, impossible jobs, and cancelled work.
+"""
 
 import asyncio
 import math
@@ -15,9 +18,9 @@
 from coveflow.lab import free_capacity, worlds
 from coveflow.lab import site as sites
 from coveflow.lab.check import Checker
-from coveflow.lab.truth import Truth
+from coveflow.lab.truth import GroundTruth
 from coveflow.lab.virtual import FLEET, World
-from coveflow.lab.waits import REPORT_S, ROOM_S, WAITED_S, MachineRoom
+from coveflow.lab.waits import END_REPORTED_S, MAX_WAIT_S, ROOM_LASTS_S, FreeCapacity
 from coveflow.lab.worker import Worker
 from coveflow.lab.worlds import site
 from coveflow.settings import Team, Tuning, Workers
@@ -28,13 +31,13 @@
 TEAMS = [Team("blue", cpus_max=40.0)]
 LARGE = flavor("g16", cpus=16.0, accelerators=4.0, ram_gb=128.0)
 LIMITS = Workers(report_s=1.0, lease_s=10.0, gang_wait_s=8.0, gang_peer_s=2.0, cancel_s=20.0)
-CALM_S = 10.0
-FIRST_S = CALM_S + WAITED_S  # when a rule about what waits in the calm can first be broken
+FAULTS_OVER_S = 10.0
+FIRST_VIOLATION_S = FAULTS_OVER_S + MAX_WAIT_S  # earliest time of a violation by a waiting job
 
 
 def checker(teams=TEAMS) -> Checker:
     found = Checker(teams, cancel_s=20.0, flavors=[flavor(), LARGE])
-    found.waits.calm_at = CALM_S
+    found.waits.faults_over_at = FAULTS_OVER_S
     return found
 
 
@@ -59,10 +62,10 @@
 def machine(name="n-1", cpus=8.0, **changes):
     fields = {"flavor": "m8", "zone": "north", "spot": False, "accelerators": 0.0, "ram_gb": 32.0,
               "cache_gb": 60.0}  # fmt: skip
-    return MachineRoom(name, cpus=cpus, **fields | changes)
+    return FreeCapacity(name, cpus=cpus, **fields | changes)
 
 
-def sampled(machines, placed=(), until=FIRST_S + 3.0):
+def sampled(machines, placed=(), until=FIRST_VIOLATION_S + 3.0):
     return [
         {"at": float(at), "kind": "rooms", "machines": list(machines), "placed": list(placed)}
         for at in range(int(until) + 1)
@@ -70,14 +73,14 @@
 
 
 def rules(rows, teams=TEAMS) -> set[str]:
-    return {broken.rule for broken in checker(teams).read(rows)} - {"nothing_ran"}
+    return {broken.rule for broken in checker(teams).check_history(rows)} - {"nothing_ran"}
 
 
 SOUTH = machine("n-2", zone="south")
 SMALL = [machine("n-1", cpus=2.0), machine("n-2", cpus=2.0, zone="south")]
 GANG = {"kind": "gang", "tasks": 4, "cpus": 1.0}
 
-WAITS = {
+WAITING = {
     "plain": (accepted(), [machine()], []),
     "some of its tasks run": (accepted(tasks=2), [machine()], [(JOB, 0, "north")]),
     "gang": (accepted(**GANG), SMALL, []),
@@ -89,15 +92,15 @@
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("case", WAITS)
-def test_a_job_that_waits_beside_room_is_noticed(case):
-    rows, machines, placed = WAITS[case]
+@pytest.mark.parametrize("case", WAITING)
+def test_job_that_waits_although_there_is_room_is_reported(case):
+    rows, machines, placed = WAITING[case]
     assert rules([*rows, *sampled(machines, placed)]) == {"waited"}
-    assert rules([*rows, *sampled(machines, placed, FIRST_S - 2.0)]) == set()
+    assert rules([*rows, *sampled(machines, placed, FIRST_VIOLATION_S - 2.0)]) == set()
 
 
-FAILED = on(FIRST_S - 30.0, 0, "off", why="error")
-RIGHTLY = {
+FAILED = on(FIRST_VIOLATION_S - 30.0, 0, "off", why="error")
+VALID_REASONS = {
     "no room": (accepted(), [machine(cpus=0.5)], []),
     "no accelerator": (accepted(accelerators=1.0), [machine()], []),
     "no memory": (accepted(ram_gb=64.0), [machine()], []),
@@ -121,22 +124,22 @@
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("case", RIGHTLY)
-def test_a_job_that_waits_rightly_is_not(case):
-    rows, machines, placed = RIGHTLY[case]
+@pytest.mark.parametrize("case", VALID_REASONS)
+def test_job_that_waits_for_a_valid_reason_is_not_reported(case):
+    rows, machines, placed = VALID_REASONS[case]
     assert rules([*rows, *sampled(machines, placed)]) == set()
 
 
-def test_room_that_turns_over_is_none():
+def test_capacity_that_is_free_only_briefly_is_not_counted_as_room():
     busy, free = sampled([machine(cpus=0.0)]), sampled([machine()])
-    rows = [free[i] if i % int(ROOM_S) else busy[i] for i in range(len(busy))]
+    rows = [free[i] if i % int(ROOM_LASTS_S) else busy[i] for i in range(len(busy))]
     assert rules([*accepted(), *rows]) == set()
 
 
-def test_a_limit_that_turns_over_is_met():
+def test_team_limit_reached_between_two_reports_counts_as_reached():
     full = [(JOB, task, "north") for task in range(5)]
     at_limit, below = sampled([machine()], full), sampled([machine()], full[:4])
-    rows = [below[i] if i % int(REPORT_S) else at_limit[i] for i in range(len(below))]
+    rows = [below[i] if i % int(END_REPORTED_S) else at_limit[i] for i in range(len(below))]
     assert rules([*accepted(tasks=9, cpus=8.0), *rows]) == set()
 
 
@@ -158,31 +161,32 @@
 )
 def test_starts_after_a_confirmed_cancellation_are_counted_by_cause(cause, made, at):
     found = checker()
-    found.read([*accepted(), *CANCELLED, run(made, at), on(6.0), on(7.0, 0, "off")])
-    assert found.late.counts == {cause: 1}
+    found.check_history([*accepted(), *CANCELLED, run(made, at), on(6.0), on(7.0, 0, "off")])
+    assert found.late_starts.counts == {cause: 1}
 
 
 def test_a_start_before_the_confirmation_is_not_counted():
     found = checker()
-    found.read([*accepted(), *CANCELLED, run(3.0, 3.1), on(4.0), on(7.0, 0, "off")])
-    assert not found.late.counts
+    found.check_history([*accepted(), *CANCELLED, run(3.0, 3.1), on(4.0), on(7.0, 0, "off")])
+    assert not found.late_starts.counts
 
 
 # --- answers of all nodes -------------------------------------------------------------------
 
 
-def test_done_counts_that_fall_are_counted_by_when_they_were_asked_and_answered():
+def test_decreasing_done_counts_are_detected_by_send_and_receive_times():
     polls = [answer(2.0, done=1), answer(3.0, done=3)]
     found = checker()
-    # Asked at the same time as the one that said 3, it may say 1; 0 was said to be over before.
-    found.read([*accepted(), *polls, answer(3.1, sent=2.9, done=1)])
+    # A poll that overlaps the one answered with 3 may return 1, but not 0, since 1 was returned
+    # before it was sent.
+    found.check_history([*accepted(), *polls, answer(3.1, sent=2.9, done=1)])
     assert found.done_fell == 0
     found = checker()
-    found.read([*accepted(), *polls, answer(3.1, sent=2.9, done=0), answer(4.0, done=2)])
+    found.check_history([*accepted(), *polls, answer(3.1, sent=2.9, done=0), answer(4.0, done=2)])
     assert found.done_fell == 2
 
 
-def test_an_answer_asked_before_another_came_may_be_older_than_it():
+def test_answer_to_an_overlapping_request_may_show_an_older_state():
     over = [*accepted(tasks=1), on(1.0), on(2.0, 0, "off", why="done"), answer(3.0, state="done")]
     for state in ("queued", "running"):
         assert rules([*over, answer(3.2, state=state, sent=2.9)]) == set()
@@ -192,7 +196,7 @@
     assert rules([*early, answer(0.3, code=404, sent=0.2)]) == {"forgotten"}
 
 
-# --- what may not be accepted ----------------------------------------------------------------
+# --- impossible jobs ------------------------------------------------------------------------
 
 IMPOSSIBLE = {
     "no such team": {"team": "red"},
@@ -208,19 +212,19 @@
 
 
 @pytest.mark.parametrize("case", IMPOSSIBLE)
-def test_what_can_never_run_may_not_be_accepted(case):
+def test_accepting_a_job_that_can_never_run_is_reported(case):
     assert "accepted_impossible" in rules(accepted(**IMPOSSIBLE[case]))
     assert rules([submitted(**IMPOSSIBLE[case]), answer(0.1, "submit", 422)]) == set()
 
 
-def test_what_lacks_a_field_may_not_be_accepted_and_an_array_beyond_the_limit_may():
+def test_accepting_a_malformed_job_is_reported_and_an_array_beyond_its_limit_is_not():
     flawed = {"at": 0.0, "kind": "submit", "job": JOB, "spec": None, "flaw": "no cpus"}
     assert rules([flawed, answer(0.1, "submit", 201)]) == {"accepted_impossible"}
     assert rules([flawed, answer(0.1, "submit", 400)]) == set()
     assert rules(accepted(tasks=6, cpus=8.0)) == set()
 
 
-# --- whole worlds ------------------------------------------------------------------------------
+# --- simulated runs ----------------------------------------------------------------------------
 
 
 def world_of(machines=3, run_s=8.0, nodes=3, spot=0) -> World:
@@ -229,7 +233,7 @@
     return World(sites.parse(text, "test"), names, 1, Tuning(homes=True))
 
 
-def played(world: World, jobs: list[Spec], until: float, calm_at: float = 0.0) -> World:
+def run_jobs(world: World, jobs: list[Spec], until: float, calm_at: float = 0.0) -> World:
     free_capacity.watch(world, calm_at)
     for i, job in enumerate(jobs):
         world.at(3.0 + i, lambda job=job: world.submit(job, "host-0"))
@@ -242,52 +246,52 @@
     return [spec(f"j-{i:06d}", **fields) for i in range(count)]
 
 
-def a_job_is_forgotten(monkeypatch) -> None:
-    """The planner never gets to one job."""
-    honest = planner.rank_jobs
+def omit_one_job(monkeypatch) -> None:
+    """Make the planner omit one job."""
+    original = planner.rank_jobs
 
     def order(state, *others):
-        jobs, urgent = honest(state, *others)
+        jobs, urgent = original(state, *others)
         return [job for job in jobs if job.id != "j-000002"], urgent
 
     monkeypatch.setattr(planner, "rank_jobs", order)
 
 
-def test_a_world_in_which_a_job_waits_beside_room_fails(monkeypatch):
+def test_run_in_which_a_job_waits_although_there_is_room_fails(monkeypatch):
     with world_of(run_s=200.0) as world:
-        played(world, long_jobs(), 3.0 + WAITED_S + 20.0)
+        run_jobs(world, long_jobs(), 3.0 + MAX_WAIT_S + 20.0)
         assert len(world.checker.jobs) == 4 and world.checker.waits.longest_s < 5.0
-    a_job_is_forgotten(monkeypatch)
+    omit_one_job(monkeypatch)
     with world_of(run_s=200.0) as world, pytest.raises(AssertionError, match="waited: j-000002"):
-        played(world, long_jobs(), 3.0 + WAITED_S + 20.0)
+        run_jobs(world, long_jobs(), 3.0 + MAX_WAIT_S + 20.0)
 
 
 # --- machines that hung -----------------------------------------------------------------------
 
-HUNG_S = 60.0  # s, longer than a cancelled task may stay
+HUNG_S = 60.0  # longer than a cancelled task may keep running
 
 
 @pytest.mark.parametrize("for_s", [LIMITS.lease_s - 1.0, LIMITS.lease_s + 1.0, HUNG_S])
-def test_a_task_is_on_a_machine_that_hung_until_that_goes_on_and_ends_it(for_s):
-    """What the lease had ended was told as of that moment, and never as late."""
-    truth, notes = Truth(lambda spec: [500.0], 2.0, 8.0), []
+def test_task_on_a_hung_machine_counts_as_running_until_the_machine_resumes(for_s):
+    """Guards against recording the end at the lease's expiry, which hides a late stop."""
+    truth, notes = GroundTruth(lambda spec: [500.0], 2.0, 8.0), []
     truth.upload(spec(JOB, tasks=1, image_gb=0.0))
     worker = Worker("n-1", "", flavor(), "north", False, LIMITS, truth, 0.0,
                     note=lambda kind, at, *_: notes.append((kind, at)))  # fmt: skip
-    worker.obey([Order("run", JOB, 0, 1)], 0.0)
+    worker.apply_orders([Order("run", JOB, 0, 1)], 0.0)
     worker.hang(0.0)
     worker.resume(for_s)
     ended = [at for kind, at in notes if kind == "off"]
     assert ended == ([] if for_s < LIMITS.lease_s else [for_s])
     found = checker()
-    found.read([
+    found.check_history([
         *accepted(tasks=1), on(0.2), {"at": 1.0, "kind": "cancel", "job": JOB},
         answer(1.0, "cancel", state="cancelled"), *(on(at, 0, "off") for at in ended),
     ])  # fmt: skip
-    assert ("ran_cancelled" in {broken.rule for broken in found.broken}) == (for_s == HUNG_S)
+    assert ("ran_cancelled" in {broken.rule for broken in found.violations}) == (for_s == HUNG_S)
 
 
-def hung_with_cancelled_work() -> World:
+def run_with_hung_machines() -> World:
     with world_of(run_s=200.0) as world:
         names: list[str] = []
 
@@ -298,23 +302,23 @@
 
         world.at(12.0, hang)
         world.at(12.1, lambda: world.cancel("j-000000", "host-1"))
-        played(world, long_jobs(1, tasks=12), 12.0 + HUNG_S + 5.0, math.inf)
+        run_jobs(world, long_jobs(1, tasks=12), 12.0 + HUNG_S + 5.0, math.inf)
         assert names
         return world
 
 
-def test_cancelled_work_on_machines_that_hang_is_gone_in_time(monkeypatch):
-    assert 0 < hung_with_cancelled_work().checker.gone_s < 40.0
+def test_cancelled_tasks_on_hung_machines_end_in_time(monkeypatch):
+    assert 0 < run_with_hung_machines().checker.gone_s < 40.0
     monkeypatch.setattr(MachineManager, "_silent", lambda self, now: [])
     with pytest.raises(AssertionError, match="ran_cancelled"):
-        hung_with_cancelled_work()
+        run_with_hung_machines()
 
 
-# --- runs of what is known to be cancelled ------------------------------------------------------
+# --- run orders for jobs known to be cancelled --------------------------------------------------
 
 
-def planted_store_alone(monkeypatch) -> None:
-    """What this node confirmed to users, or peers told, counts only when the store tells it."""
+def apply_cancellations_from_store_only(monkeypatch) -> None:
+    """Make the node ignore cancellations it confirmed or got from peers until the store's watch."""
     monkeypatch.setattr(Inbox, "apply_peer_cancellations", lambda self, jobs: None)
     monkeypatch.setattr(
         Inbox, "cancelled",
@@ -322,8 +326,8 @@
     )  # fmt: skip
 
 
-def told_by_the_leader() -> World:
-    """The leader tells of cancellations that others wrote, and its watch tells it 0.5 s later."""
+def confirmed_by_the_leader() -> World:
+    """The leader confirms cancellations written by others 0.5 s before its watch delivers them."""
     jobs = long_jobs(4, tasks=200, expected_s=1.0)
     with world_of(run_s=1.0, nodes=1) as world:
         watch = world.state._watch
@@ -337,7 +341,7 @@
             row = world.state.store.get(sk.JOB + job)
             value = {**row.value, "cancel": world.now}
             world.state.store.commit({}, {sk.JOB + job: (value, None)}, world.now)
-            world.checker.see({"at": world.now, "kind": "cancel", "job": job})
+            world.checker.record({"at": world.now, "kind": "cancel", "job": job})
             path = f"{wire.WORK_PATH}/{job}"
             asked = world._request("host-0", "GET", path, "poll", job)
             world.hosts[FLEET].loop.create_task(asked)
@@ -345,20 +349,20 @@
         world.state._watch = late
         for i, job in enumerate(jobs):
             world.at(8.0 + i, lambda job=job.id: cancel(job))
-        return played(world, jobs, 14.0, math.inf)
+        return run_jobs(world, jobs, 14.0, math.inf)
 
 
-def test_a_leader_runs_nothing_that_it_told_is_cancelled(monkeypatch):
-    """It acted on what it told a user only when the store's watch told it too."""
-    world = told_by_the_leader()
-    assert world.checker.late.counts["told after"] == 0 and world.checker.gone_s > 0
-    planted_store_alone(monkeypatch)
+def test_leader_starts_no_task_of_a_job_it_confirmed_as_cancelled(monkeypatch):
+    """Guards against a leader that applies a confirmed cancellation only after its watch."""
+    world = confirmed_by_the_leader()
+    assert world.checker.late_starts.counts["told after"] == 0 and world.checker.gone_s > 0
+    apply_cancellations_from_store_only(monkeypatch)
     with pytest.raises(AssertionError, match=r"is run on .* and known to be cancelled"):
-        told_by_the_leader()
+        confirmed_by_the_leader()
 
 
-def test_a_home_passes_no_run_on_that_it_knows_is_cancelled(monkeypatch):
-    """The leader's answer waited for a batch when another node's word came to the home."""
+def test_home_node_forwards_no_run_order_for_a_job_it_knows_is_cancelled(monkeypatch):
+    """A peer's cancellation reaches the home node while the leader's answer waits for a batch."""
     told = worlds.play(worlds.meetings(16))
     assert not told.broken
     monkeypatch.setattr(wire, "without_cancelled_runs", lambda body, cancelled: body)
@@ -368,8 +372,8 @@
 # --- counts for display -------------------------------------------------------------------------
 
 
-def test_a_leader_that_begins_tells_what_its_records_count(monkeypatch):
-    """Polls between its beginning and its first tick were told that nothing was done."""
+def test_new_leader_publishes_the_task_counts_of_its_records(monkeypatch):
+    """Guards against polls that show 0 done tasks until the new leader's first tick."""
     assert worlds.play(worlds.rushes(31)).done_fell == 0
     lead = Owner._start_leading
 
--- a/tests/test_concurrent_faults.py
+++ b/tests/test_concurrent_faults.py
@@ -82,12 +82,14 @@
         )
         more(self)
         world.run(REFUSED_S + self.down_s + OUTAGE_S + 25.0)
-        cancelled = [j for j, known in world.checker.jobs.items() if known.told == "cancelled"]
+        cancelled = [
+            j for j, known in world.checker.jobs.items() if known.final_state == "cancelled"
+        ]
         assert len(cancelled) == 4 and not self.still_running()
         return world
 
     def still_running(self) -> list[tuple[str, int]]:
-        return [key for key in self.world.checker.live if key[0] != KEPT]
+        return [key for key in self.world.checker.running if key[0] != KEPT]
 
 
 def no_fault(refusal: StoreRefusal) -> None:
@@ -185,7 +187,7 @@
         assert world.checker.gone_s < CANCEL_S - c.CONTACT_MARGIN_S + 0.5
         if fault in (no_fault, home_refused, cloud_down, store_up_for_half_a_second):
             assert world.checker.gone_s < 6.0
-            assert len([key for key in world.checker.live if key[0] == KEPT]) == 12
+            assert len([key for key in world.checker.running if key[0] == KEPT]) == 12
     finally:
         refusal.world.close()
 
@@ -201,7 +203,7 @@
             if job.id != KEPT:
                 value = {**row.value, "cancel": world.now}
                 store.commit({}, {sk.JOB + job.id: (value, None)}, world.now)
-                world.checker.see({"at": world.now, "kind": "cancel", "job": job.id})
+                world.checker.record({"at": world.now, "kind": "cancel", "job": job.id})
 
     def ask() -> None:
         for i, job in enumerate(jobs()):
@@ -310,7 +312,7 @@
     world.truth.draw = lambda spec: [500.0] * spec.tasks
     world.at(0.5, lambda: world.submit(job_spec("j-000000", tasks=12, cpus=1.0)))
     world.run(4.0)
-    assert len(world.checker.live) == 12
+    assert len(world.checker.running) == 12
     return world
 
 
@@ -323,7 +325,7 @@
     returned = []
     world.observers.append(lambda kind, row: returned.append(kind) if kind == "gone" else None)
     world.run(4.0 + 2.0 + LEASE_S)
-    assert not world.checker.live and not returned
+    assert not world.checker.running and not returned
 
 
 def test_a_stop_of_cancelled_work_has_no_grace_period():
--- a/tests/test_feasibility.py
+++ b/tests/test_feasibility.py
@@ -368,14 +368,14 @@
             job = spec(name, workload="tally", expected_s=5.0, **changes)
             world.at(4.0, lambda job=job: world.submit(job, "host-1"))
         world.run(LATE_S)
-        assert not world.checker.broken
+        assert not world.checker.violations
         return world
 
 
 def check_bound_jobs(world: World) -> None:
     status = {name: world.answers[name][0] for name in BOUND}
     assert status == dict(zip(BOUND, [422, 422, 422, 422, 201, 201], strict=True))
-    assert {world.checker.jobs[name].told for name in ("j-000005", "j-000006")} == {"done"}
+    assert {world.checker.jobs[name].final_state for name in ("j-000005", "j-000006")} == {"done"}
 
 
 def test_impossible_jobs_are_rejected_and_arrays_that_run_in_parts_end():
@@ -485,7 +485,7 @@
             world.at(4.0 + 5.0 * i, lambda job=job: world.submit(job, "host-1"))
         ended = world.checker.jobs
         world.run(RENTED_S, lambda: "j-000001" in ended and bool(ended["j-000001"].done))
-        assert not world.checker.broken and len(ended["j-000001"].done) == jobs[0].tasks
+        assert not world.checker.violations and len(ended["j-000001"].done) == jobs[0].tasks
 
 
 UNBOUND = timeline.ZoneLimit()
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The lab's stand-ins: what the checker notices, what a worker and a store may do, bad files."""
+"""The lab's checker, its worker and store models, and invalid lab files and fault scripts."""
 
 import json
 import math
@@ -14,8 +14,8 @@
 from coveflow.lab import faults, site
 from coveflow.lab.check import Checker
 from coveflow.lab.cluster import LabError, judge
-from coveflow.lab.store import Failed, Store, TooOld
-from coveflow.lab.truth import Truth
+from coveflow.lab.store import ConditionFailed, RevisionCompacted, Store
+from coveflow.lab.truth import GroundTruth
 from coveflow.lab.worker import Worker
 from coveflow.settings import Team, Workers
 from tests.samples import flavor, spec
@@ -69,17 +69,17 @@
         ("nothing_ran", [submitted()]),
     ],
 )  # fmt: skip
-def test_each_rule_broken_on_purpose_is_named(rule, rows):
+def test_each_violation_is_reported_under_its_rule(rule, rows):
     checker = Checker([Team("blue", cpus_max=4.0)], cancel_s=20.0)
-    assert rule in {broken.rule for broken in checker.read(rows)}
+    assert rule in {broken.rule for broken in checker.check_history(rows)}
 
 
-def test_an_orderly_course_breaks_nothing():
+def test_correct_history_has_no_violations():
     rows = [
         submitted(tasks=1), answer(0.1, "submit", 201), on(1), answer(2, state="running"),
         on(3, kind="off", why="done"), answer(4, state="done"), answer(5, state="done"),
     ]  # fmt: skip
-    assert Checker([Team("blue", cpus_max=4.0)], cancel_s=20.0).read(rows) == []
+    assert Checker([Team("blue", cpus_max=4.0)], cancel_s=20.0).check_history(rows) == []
 
 
 VERBS = st.sampled_from(["run", "stop", "clear"])
@@ -98,10 +98,10 @@
 
 @settings(derandomize=True, deadline=None, max_examples=150)
 @given(STEPS, st.sampled_from([0.0, 2.0]), st.booleans())
-def test_a_worker_keeps_its_protocol_whatever_it_is_told(steps, checkpoint_s, gang):
-    """Counters grow, a task is on it once, room is never exceeded, time never runs back."""
+def test_worker_follows_the_protocol_under_any_sequence_of_orders(steps, checkpoint_s, gang):
+    """Counters increase, a task runs once, capacity is never exceeded, time never decreases."""
     kind = "gang" if gang else "array"
-    truth = Truth(lambda spec: [6.0] * spec.tasks, LIMITS.gang_peer_s, LIMITS.gang_wait_s)
+    truth = GroundTruth(lambda spec: [6.0] * spec.tasks, LIMITS.gang_peer_s, LIMITS.gang_wait_s)
     truth.upload(spec(JOB, tasks=4, cpus=3.0, kind=kind, checkpoint_s=checkpoint_s, save_s=1.0))
     live, notes = set(), []
 
@@ -111,7 +111,7 @@
             live.add(attempt.task)
         elif kind == "off":
             live.remove(attempt.task)
-        if not gang:  # a gang's end is told when the gang is asked, not when the worker is
+        if not gang:  # the end of a gang is recorded when the gang advances, not the worker
             notes.append(at)
 
     worker = Worker("n-1", "", flavor(), "north", False, LIMITS, truth, 0.0, note=note)
@@ -120,13 +120,17 @@
         now += wait
         truth.advance(now)
         if what == "order":
-            worker.answered(worker.tenure, now, 5, [Order(verb, JOB, task, number, grace)], now)
+            worker.receive_answer(
+                worker.tenure, now, 5, [Order(verb, JOB, task, number, grace)], now
+            )
         elif what == "stale":
-            before = (dict(worker.tasks), worker.lease_from)
+            before = (dict(worker.tasks), worker.lease_renewed_at)
             tenure, order = worker.tenure, Order(verb, JOB, task, number, grace)
-            if worker.epoch and not worker.answered(tenure, now, worker.epoch - 1, [order], now):
-                assert worker.lease_from >= before[1]
-                assert worker.lease_from == before[1] or worker.tenure > tenure
+            if worker.epoch and not worker.receive_answer(
+                tenure, now, worker.epoch - 1, [order], now
+            ):
+                assert worker.lease_renewed_at >= before[1]
+                assert worker.lease_renewed_at == before[1] or worker.tenure > tenure
         elif what == "hang":
             worker.hang(now)
         elif what == "resume":
@@ -140,48 +144,50 @@
     assert notes == sorted(notes)
 
 
-def test_a_worker_without_answers_forgets_its_tasks_when_its_lease_ends():
-    truth = Truth(lambda spec: [100.0] * spec.tasks, 2.0, 8.0)
+def test_worker_without_answers_drops_its_tasks_when_its_lease_expires():
+    truth = GroundTruth(lambda spec: [100.0] * spec.tasks, 2.0, 8.0)
     truth.upload(spec(JOB, checkpoint_s=4.0, save_s=1.0))
     worker = Worker("n-1", "", flavor(), "north", False, LIMITS, truth, 0.0)
-    worker.answered(1, 0.0, 1, [Order("run", JOB, 0, 1)], 0.0)
+    worker.receive_answer(1, 0.0, 1, [Order("run", JOB, 0, 1)], 0.0)
     report = worker.report(9.0)
     assert [t.state for t in report.tasks] == ["running"]
-    assert not worker.answered(1, 9.0, 0, [], 9.1), "an older token renews no lease"
+    assert not worker.receive_answer(1, 9.0, 0, [], 9.1), "an older token renews no lease"
     report = worker.report(10.5)
     assert (report.tenure, report.tasks) == (2, [])
-    assert not worker.answered(1, 9.0, 1, [], 10.6), "an answer of an earlier session is dropped"
+    assert not worker.receive_answer(1, 9.0, 1, [], 10.6), (
+        "an answer of an earlier session is dropped"
+    )
     assert math.isclose(truth.saved[(JOB, 0)], 8.0), "its last checkpoint is kept"
 
 
-def test_a_gang_that_saves_in_time_goes_on_from_there_and_one_that_does_not_falls_back():
-    truth = Truth(lambda spec: [30.0], LIMITS.gang_peer_s, LIMITS.gang_wait_s)
+def test_gang_resumes_from_a_completed_save_and_otherwise_from_its_last_checkpoint():
+    truth = GroundTruth(lambda spec: [30.0], LIMITS.gang_peer_s, LIMITS.gang_wait_s)
     truth.upload(spec(JOB, kind="gang", tasks=2, checkpoint_s=10.0, save_s=1.0))
     workers = [Worker(f"n-{i}", "", flavor(), "north", False, LIMITS, truth, 0.0) for i in (0, 1)]
 
-    def tell(now, verb, number, whom=(0, 1), grace=0.0):
-        for i in whom:
+    def send_order(now, verb, number, receivers=(0, 1), grace=0.0):
+        for i in receivers:
             worker = workers[i]
-            worker.answered(worker.tenure, now, 1, [Order(verb, JOB, i, number, grace)], now)
+            worker.receive_answer(worker.tenure, now, 1, [Order(verb, JOB, i, number, grace)], now)
             truth.advance(now)
 
-    def keep(now):
+    def renew_leases(now):
         for worker in workers:
             worker.advance(now)
-            worker.answered(worker.tenure, now, 1, [], now)
+            worker.receive_answer(worker.tenure, now, 1, [], now)
         truth.advance(now)
 
-    tell(0.0, "run", 1)
-    keep(1.0)  # the image is there: it runs from 1.0
-    keep(8.0)
-    tell(9.0, "stop", 1, grace=2.0)
-    keep(11.5)
+    send_order(0.0, "run", 1)
+    renew_leases(1.0)  # the image is fetched: the gang runs from 1.0
+    renew_leases(8.0)
+    send_order(9.0, "stop", 1, grace=2.0)
+    renew_leases(11.5)
     assert truth.saved[(JOB, -1)] == pytest.approx(8.0)
-    tell(12.0, "clear", 1)
-    tell(12.0, "run", 2)
-    keep(17.0)
-    tell(19.0, "stop", 2, whom=(0,), grace=2.0)  # its mate is not told
-    keep(24.0)
+    send_order(12.0, "clear", 1)
+    send_order(12.0, "run", 2)
+    renew_leases(17.0)
+    send_order(19.0, "stop", 2, receivers=(0,), grace=2.0)  # the other task gets no stop
+    renew_leases(24.0)
     assert [a.why for w in workers for a in w.tasks.values()] == ["mates_gone", "mates_gone"]
     assert truth.saved[(JOB, -1)] == pytest.approx(10.0), "a checkpoint, not the progress of 15"
 
@@ -197,14 +203,14 @@
 
 @settings(derandomize=True, deadline=None)
 @given(TXNS)
-def test_a_store_applies_what_its_conditions_allow_and_tells_every_change(txns):
+def test_store_applies_conditional_transactions_and_reports_every_change(txns):
     store, model = Store(100, 100, 8, 12, kept=15), {}
     for guard, key, value, stale in txns:
         want = model.get(guard, (None, 0))[1] + (1 if stale else 0)
         before = store.rev
         try:
             rev = store.commit({guard: want}, {key: (value, None)}, 0.0)
-        except Failed as conflict:
+        except ConditionFailed as conflict:
             assert stale and conflict.keys == [guard] and store.rev == before
             continue
         assert not stale and rev == before + 1
@@ -217,7 +223,7 @@
     try:
         for key, value, rev in store.events("", 0):
             replayed[key] = (value, rev)
-    except TooOld:
+    except RevisionCompacted:
         assert store.rev > 15
         return
     assert {k: v for k, v in replayed.items() if v[0] is not None} == model
@@ -239,7 +245,7 @@
         ("(seed 7)", "(seeds 7)", "seeds"),
     ],
 )
-def test_a_lab_file_that_is_wrong_names_the_form(old, new, named):
+def test_error_of_an_invalid_lab_file_names_the_form(old, new, named):
     text = Path(LAB).read_text(encoding="utf-8")
     assert old in text
     with pytest.raises(forms.FormError, match=named):
@@ -258,7 +264,7 @@
         ("(troubles)", "faults"),
     ],
 )
-def test_a_fault_script_that_is_wrong_names_the_form(text, named):
+def test_error_of_an_invalid_fault_script_names_the_form(text, named):
     with pytest.raises(forms.FormError, match=named):
         faults.parse(text, "f.scm")
 
@@ -272,7 +278,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.lists(WORDS, max_size=4))
-def test_forms_survive_being_shown_and_garbage_is_only_ever_a_form_error(items):
+def test_formatted_forms_parse_to_the_same_value_and_invalid_input_raises_form_error(items):
     try:
         read = forms.read(forms.format_form(["x", *items]), "f", "x")
     except forms.FormError:
@@ -283,7 +289,7 @@
             parse(forms.format_form(["lab", *items]), "f")
 
 
-def test_a_labs_history_is_judged_from_its_folder(tmp_path):
+def test_history_is_checked_from_the_folder_of_a_lab(tmp_path):
     (tmp_path / "lab.scm").write_text(Path(LAB).read_text(encoding="utf-8"))
     users = [
         submitted(team="analytics") | {"spec": msgspec.to_builtins(spec(JOB, team="analytics"))}
@@ -291,7 +297,7 @@
     fleet = [on(1), on(2, kind="off", why="done"), on(3, "n-2")]
     for name, rows in (("users", users), ("fleet", fleet)):
         text = "".join(json.dumps(row) + "\n" for row in rows)
-        # A kill may leave half a line behind.
+        # A killed process may leave an incomplete last line.
         (tmp_path / f"history-{name}.jsonl").write_text(text + '{"at": 9, "ki')
     assert judge(tmp_path) == []
     (tmp_path / "history-fleet.jsonl").write_text(
