--- a/tests/test_limits_meetings.py
+++ b/tests/test_limits_meetings.py
@@ -98,7 +98,7 @@
 
     def machines_of(self, jobs: set[str]) -> list[str]:
         """Machines with live tasks of these jobs."""
-        live = self.world.checker.live
+        live = self.world.checker.running
         return sorted({row.machine for (name, _), row in live.items() if name in jobs})
 
     def disrupt(self, how: str, machines: list[str], for_s: float) -> None:
@@ -128,11 +128,13 @@
         return [
             (row["job"], row["task"])
             for at, kind, row in self.world.attempt_events
-            if kind == "on" and at > jobs[row["job"]].told_at
+            if kind == "on" and at > jobs[row["job"]].cancel_confirmed_at
         ]
 
     def reported(self, state: str) -> set[str]:
-        return {name for name, known in self.world.checker.jobs.items() if known.told == state}
+        return {
+            name for name, known in self.world.checker.jobs.items() if known.final_state == state
+        }
 
 
 # --- teams at their limits -----------------------------------------------------------------------
@@ -325,7 +327,7 @@
             world.run(begun + 60.0, lambda: self.states() == ["running"] * 4)
             took = world.now - begun
             world.run(world.now + 10.0)
-            assert len(world.checker.live) == 4
+            assert len(world.checker.running) == 4
             world.cancel(self.it.id)
             self.finish(world.now + 30.0)
         else:
@@ -575,7 +577,7 @@
         world.run(TROUBLE_S + 6.0)
         assert not self.step, "the step did not come"
         self.finish(TROUBLE_S + 30.0)
-        assert self.reported("cancelled") == set(self.jobs) and not world.checker.live
+        assert self.reported("cancelled") == set(self.jobs) and not world.checker.running
         assert not self.started_late(), "started after its cancellation was confirmed"
         return world.checker.gone_s
 
@@ -772,7 +774,7 @@
         self.finish(400.0)
         world.run(world.now + 2 * LOOK_S)
         jobs = world.checker.jobs
-        answers = [jobs[name].told_at - at for name, at in self.asked.items()]
+        answers = [jobs[name].cancel_confirmed_at - at for name, at in self.asked.items()]
         ends = [self.final[name] - at for name, at in self.ended.items() if name not in self.asked]
         assert len(ends) >= 30 and len(self.reported("cancelled")) >= 4
         assert max(ends) < 2 * RESULT_S and not self.started_late()
@@ -820,7 +822,7 @@
         Gangs are not counted: by the protocol a gang breaks up as soon as its machine hangs.
         """
         world, at = self.world, TROUBLE_S
-        live = {row.machine for row in world.checker.live.values()}
+        live = {row.machine for row in world.checker.running.values()}
         world.at(at + 0.1, lambda: self.disrupt(how, sorted(live)[:3], for_s))
         world.at(at + 0.5, lambda: self.end_leader(5.0))
         world.at(at + 0.6, lambda: world.cut(cloud_s, lambda a, b: b.name == CLOUD, "refuse"))
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -461,14 +461,14 @@
             world.at(at, lambda: crash_leader(world, 3.0))
         world.run(FAULT_S + 13.0)
         assert len(world.fleet.workers) > 8
-        assert len({there.machine for there in world.checker.live.values()}) > 8
+        assert len({there.machine for there in world.checker.running.values()}) > 8
         world.run(150.0, lambda: not unfinished(world))
         assert world.answers and not unfinished(world)
         # Every attempt ran to its end: no machine was returned with work, and nothing was stopped.
         assert not [
             row for _, kind, row in world.attempt_events if kind == "off" and row["why"] != "done"
         ]
-        assert not world.checker.live
+        assert not world.checker.running
 
 
 @pytest.mark.parametrize("late_s", [3.0, 1000.0])
--- a/tests/test_reports_meetings.py
+++ b/tests/test_reports_meetings.py
@@ -63,7 +63,7 @@
         name = self.world.leader()
         if name and self.world.node(name).owner.leading == self.world.epoch():
             machines = self.world.node(name).owner.state.machines
-            for (job, task), there in self.world.checker.live.items():
+            for (job, task), there in self.world.checker.running.items():
                 m = machines.get(there.machine)
                 known = m is not None and any(key[:2] == (job, task) for key in m.placements)
                 assert known, f"{job}/{task} on {there.machine} is believed gone"
@@ -76,11 +76,11 @@
 
     def machines_of(self, job: str) -> list[str]:
         """Machines with tasks of the job."""
-        live = self.world.checker.live
+        live = self.world.checker.running
         return sorted({there.machine for key, there in live.items() if key[0] == job})
 
     def tasks(self, job: str) -> int:
-        return sum(key[0] == job for key in self.world.checker.live)
+        return sum(key[0] == job for key in self.world.checker.running)
 
     def lost(self, since: float) -> list[dict]:
         """Attempts that ended other than by completion or cancellation."""
@@ -191,7 +191,9 @@
         4,
         24,
     ]
-    assert world.checker.jobs[CANCELLED].told == "cancelled" and not scenario.tasks(CANCELLED)
+    assert world.checker.jobs[CANCELLED].final_state == "cancelled" and not scenario.tasks(
+        CANCELLED
+    )
     assert all(len(world.checker.jobs[name].done) == 3 for name in scenario.short)
 
 
@@ -271,11 +273,11 @@
     """Their other work ends only with its lease; no machine is returned for its silence."""
     world = scenario.world
     names = block_connections(scenario, 50.0)
-    elsewhere = {key for key, there in world.checker.live.items() if there.machine in names}
+    elsewhere = {key for key, there in world.checker.running.items() if there.machine in names}
     world.at(17.0, lambda: world.cancel(CANCELLED))
     world.run(15.0 + LEASE_S + 4.0)
     assert not scenario.tasks(CANCELLED) and world.checker.gone_s < 2 * REPORT_S
-    placed = {key[:2] for key in world.checker.live if key[0] != CANCELLED}
+    placed = {key[:2] for key in world.checker.running if key[0] != CANCELLED}
     assert {key for key in elsewhere if key[0] != CANCELLED} <= placed
     world.submit(spec(FILLER, tasks=60, team="blue", workload="tally"), "host-1")
     world.run(75.0)
--- a/tests/test_riders.py
+++ b/tests/test_riders.py
@@ -50,7 +50,7 @@
     assert ran and record["status"] == "cancelled" and "allows no repeat" in record["failed"]
     assert final_state(record) == "SYSTEM_ERROR" and record["rider"] == RIDER
     world.run(world.now + 20.0)
-    assert not world.leader().state.jobs and not world.checker.broken
+    assert not world.leader().state.jobs and not world.checker.violations
 
 
 def test_leader_lost_after_holding_a_task_does_not_run_it_again():
@@ -134,7 +134,7 @@
             record = final_record(world, job.id)
             if record is not None:
                 ends.setdefault(job.id, []).append(msgspec.json.encode(record))
-    assert not world.checker.broken
+    assert not world.checker.violations
     for rows in ends.values():
         assert len(set(rows)) == 1
     assert len(ends) == 6
--- a/tests/test_spot_refused.py
+++ b/tests/test_spot_refused.py
@@ -131,7 +131,7 @@
             return done == 16 * JOBS
 
         world.run(UNTIL_S, over)
-        assert not world.checker.broken
+        assert not world.checker.violations
         return world.now - 3.0 if over() else math.inf
 
 
@@ -182,7 +182,7 @@
             job = spec(f"j-{i:06d}", workload="tally", tasks=8, expected_s=200.0)
             world.at(3.0 + i, lambda job=job: world.submit(job, "host-0"))
         world.run(92.0)
-        return {job for job, _ in world.checker.live}
+        return {job for job, _ in world.checker.running}
 
 
 def test_no_job_waits_for_long_beside_unused_guaranteed_capacity(monkeypatch):
--- a/tests/test_user_consistency.py
+++ b/tests/test_user_consistency.py
@@ -142,7 +142,7 @@
 
 def check_answers(world: World) -> dict[str, str]:
     """Check that no answer is older than an earlier one or contradicts the stored final state."""
-    assert not [str(it) for it in answers.older(world.replies)]
+    assert not [str(it) for it in answers.stale_answers(world.replies)]
     assert not answers.contradictions(world.replies)
     states = final_states(world)
     for answer in world.replies:
@@ -516,8 +516,10 @@
         name, node = f"j-{i:06d}", others[i % 2]
         world.at(at + offset_s, lambda name=name, node=node: world.cancel(name, node))
     world.run(at + DOWN_AFTER_S + DOWN_S + 12.0)
-    cancelled = [name for name, known in world.checker.jobs.items() if known.told == "cancelled"]
-    assert len(cancelled) == 3 and {name for name, _ in world.checker.live} <= {"j-000003"}
+    cancelled = [
+        name for name, known in world.checker.jobs.items() if known.final_state == "cancelled"
+    ]
+    assert len(cancelled) == 3 and {name for name, _ in world.checker.running} <= {"j-000003"}
     return world.checker.gone_s
 
 
@@ -664,12 +666,14 @@
     """Overlapping requests may see either state, in whatever order they are answered."""
     running, unknown = answered_at(1.0, 2.0, 200, "running", 3), answered_at(2.5, 2.6, 404)
     ended, late = answered_at(3.0, 4.0, 200, "done", 4), answered_at(3.5, 4.5, 200, "queued", 1)
-    assert not answers.older(
+    assert not answers.stale_answers(
         [running, ended, late, answered_at(0.5, 2.4, 404), answered_at(5.0, 6.0, 503)]
     )
-    assert answers.older([running, unknown, ended]) == [answers.Older(running, unknown)]
-    assert answers.older([answered_at(4.1, 5.0, 200, "running"), ended])
-    assert answers.older([answered_at(4.1, 5.0, 200, "cancelled"), ended])
+    assert answers.stale_answers([running, unknown, ended]) == [
+        answers.StaleAnswer(running, unknown)
+    ]
+    assert answers.stale_answers([answered_at(4.1, 5.0, 200, "running"), ended])
+    assert answers.stale_answers([answered_at(4.1, 5.0, 200, "cancelled"), ended])
     assert answers.contradictions([answered_at(3.0, 5.0, 200, "cancelled"), ended]) == ["j-1"]
-    assert answers.count_falls([running, late, ended]) == 1
-    assert answers.count_falls([answered_at(1.5, 2.0, 200, "running", 1), running]) == 0
+    assert answers.count_decreases([running, late, ended]) == 1
+    assert answers.count_decreases([answered_at(1.5, 2.0, 200, "running", 1), running]) == 0
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -198,7 +198,7 @@
     placed = list(leader.state.jobs["j-000000"].placed.values())
     assert len(placed) == 4
     lost = leader.state.machines[placed[0].machine]
-    world.posts[lost.id].worker.expire(world.now)
+    world.posts[lost.id].worker.expire_lease(world.now)
     world.run(6.0)
     assert all(p.stopping for p in placed if p.machine != lost.id)
 
@@ -374,7 +374,7 @@
     while not any(k == ("j-000000", t) for k in world.truth.done for t in range(4)):
         world.run(world.now + 0.05)
     victim = next(p for p in world.workers if any(a.job for a in p.worker.tasks.values()))
-    victim.worker.expire(world.now)
+    victim.worker.expire_lease(world.now)
     world.run(60.0)
     assert world.ended == {"j-000000": "done"} and not leader.state.jobs
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -16,9 +16,9 @@
 from coveflow.core.model import Order, Report, Spec
 from coveflow.daemon import commands as cm
 from coveflow.daemon import owner as o
-from coveflow.lab.cloud import Boots, Cloud
+from coveflow.lab.cloud import BootTimes, Cloud
 from coveflow.lab.store import Store
-from coveflow.lab.truth import Truth
+from coveflow.lab.truth import GroundTruth
 from coveflow.whatif import world as w
 from tests.samples import flavor
 
@@ -74,7 +74,7 @@
         cloud = Cloud(
             [kind],
             {(kind.name, zone, False): machines for zone in zones},
-            lag_s=1.0, seed=seed, boots=Boots(quick=0, late=0, never=0),
+            lag_s=1.0, seed=seed, boots=BootTimes(quick=0, late=0, never=0),
         )  # fmt: skip
 
         def draw(spec: Spec) -> list[float]:
@@ -86,7 +86,7 @@
         super().__init__(
             settings_of=lambda name: node_settings(name, [team]),
             tuning=tuning or s.Tuning(),
-            truth=Truth(draw, GANG_PEER_S, GANG_WAIT_S),
+            truth=GroundTruth(draw, GANG_PEER_S, GANG_WAIT_S),
             store=Store(1e9, 1e9, VALUE_KB, TXN_OPS),
             cloud=cloud,
             network=w.Network(latency, latency, lambda: 0.2, lambda: rng.random() < 0.03),
@@ -99,7 +99,7 @@
         self.deaf_workers: dict[str, float] = {}  # nothing comes to them, until when
         self.copies_until = 0.0  # reports come again, late, to any node
         for i in range(machines):
-            cloud.begin(kind.name, zones[i % 2], False, 1, 0.0)
+            cloud.start_machines(kind.name, zones[i % 2], False, 1, 0.0)
         self.elect("a")
         self.every(0.25, self._rules)
         self.run(0.0)
@@ -116,10 +116,10 @@
         self.tamper(self, name, owner)
 
     def _rules(self) -> None:
-        for job, task in list(self.checker.live):
-            self.checker._not_cancelled(job, task, self.now)
-        if self.checker.broken:
-            first = self.checker.broken[0]
+        for job, task in list(self.checker.running):
+            self.checker._check_cancelled(job, task, self.now)
+        if self.checker.violations:
+            first = self.checker.violations[0]
             raise Broken(f"{first.rule}: {first.text} at {first.at:.2f}")
 
     def write(self, writes: dict[str, Any], guards: dict[str, int]) -> int | list[str]:
@@ -152,8 +152,8 @@
     def reborn(self, post: w.Post, first: bool) -> None:
         """The machine is back at once, with nothing on it, and counts its reports from one."""
         worker = post.worker
-        worker._lose(self.now)
-        worker.counter, worker.epoch, worker.lease_from = 0, 0, self.now
+        worker._kill_all(self.now)
+        worker.counter, worker.epoch, worker.lease_renewed_at = 0, 0, self.now
         worker.tenure = 1 if first else worker.tenure
         post.waiting = 0
 
