--- a/coveflow/cli/daemon.py
+++ b/coveflow/cli/daemon.py
@@ -44,7 +44,7 @@
         from coveflow.whatif import changes
 
         parse = {
-            "lab": site.parse, "faults": faults.parse, "experiment": experiment.matrix,
+            "lab": site.parse, "faults": faults.parse, "experiment": experiment.parse_matrix,
             "change": changes.parse,
         }[head]  # fmt: skip
         parse(text, str(path))
--- a/coveflow/cli/lab.py
+++ b/coveflow/cli/lab.py
@@ -33,7 +33,7 @@
 from coveflow.lab import site as sites
 from coveflow.lab import workload
 from coveflow.lab.cluster import Cluster, LabError
-from coveflow.lab.evening import Evening
+from coveflow.lab.workload_run import WorkloadRun
 
 SITES = Path(sites.__file__).parent / "sites"
 LAB_TRIES = 3  # times a lab is started that could not
@@ -103,7 +103,9 @@
     cluster.site.seed = seed
     faults = [fl.Fault(DEMO_KILL_S, "kill", ("leader",))]
     said: list[str] = []
-    evening = Evening(cluster, workload.draw(cluster.site, DEMO_S), faults, seen=said.append)
+    evening = WorkloadRun(
+        cluster, workload.draw(cluster.site, DEMO_S), faults, on_message=said.append
+    )
     machines = sum(cluster.site.up.values())
     console.print(
         f"[bold]coveflow lab demo[/]: {cluster.site.controllers} controllers, {machines} machines,"
@@ -122,7 +124,7 @@
             state = await cluster.ask(session, "/lab/state")
     finally:
         await cluster.stop()
-    broken = evening.broken()
+    broken = evening.broken_rules()
     if as_json:
         print(json.dumps(report(evening, broken, state, said)))
     else:
@@ -130,18 +132,18 @@
         for text in said:
             console.print(f"[yellow]fault[/] {text}")
         _verdict(console, evening, broken, state["paid"])
-    unfinished = [x for x in evening.courses.values() if x.status not in ("done", "cancelled")]
+    unfinished = [x for x in evening.records.values() if x.status not in ("done", "cancelled")]
     return not broken and not unfinished
 
 
-def report(evening: Evening, broken: list, state: dict[str, Any], said: list[str]) -> dict:
+def report(evening: WorkloadRun, broken: list, state: dict[str, Any], said: list[str]) -> dict:
     jobs = [
         {
             "job": x.spec.id, "class": x.spec.workload, "tasks": x.spec.tasks,
-            "status": x.status, "submitted_s": round(x.due - evening.began, 3),
-            "took_s": None if x.took_s is None else round(x.took_s, 3), "late": x.late,
+            "status": x.status, "submitted_s": round(x.due - evening.started_at, 3),
+            "took_s": None if x.took_s is None else round(x.took_s, 3), "late": x.missed_deadline,
         }
-        for x in evening.courses.values()
+        for x in evening.records.values()
     ]  # fmt: skip
     rules = [{"rule": b.rule, "at": b.at, "text": b.text} for b in broken]
     return evening.summary() | {
@@ -149,13 +151,13 @@
     }  # fmt: skip
 
 
-def jobs_table(evening: Evening, newest: int | None = None) -> Table:
+def jobs_table(evening: WorkloadRun, newest: int | None = None) -> Table:
     table = Table(box=None, header_style="bold", pad_edge=False)
     columns = ("job", "class", "tasks", "submitted", "state", "done", "took", "deadline")
     for name in columns:
         right = name in ("tasks", "submitted", "done", "took", "deadline")
         table.add_column(name, justify="right" if right else "left")
-    courses = list(evening.courses.values())
+    courses = list(evening.records.values())
     if newest is not None:
         courses.sort(key=lambda x: (x.finished is not None, -x.due))
         courses = courses[:newest]
@@ -163,17 +165,17 @@
         deadline = "" if x.spec.deadline_s is None else f"{x.spec.deadline_s:.1f} s"
         took = "" if x.took_s is None else f"{x.took_s:.1f} s"
         style = {"done": "green", "running": "cyan", "refused": "red"}.get(x.status, "")
-        if x.late:
+        if x.missed_deadline:
             took = f"[red]{took} late[/]"
         done = x.spec.tasks if x.status == "done" else x.done
         table.add_row(
-            x.spec.id, x.spec.workload, str(x.spec.tasks), f"{x.due - evening.began:.1f} s",
+            x.spec.id, x.spec.workload, str(x.spec.tasks), f"{x.due - evening.started_at:.1f} s",
             f"[{style}]{x.status}[/]" if style else x.status, str(done), took, deadline,
         )  # fmt: skip
     return table
 
 
-async def _show(live: Live, cluster: Cluster, evening: Evening, said: list[str]) -> None:
+async def _show(live: Live, cluster: Cluster, evening: WorkloadRun, said: list[str]) -> None:
     import aiohttp
 
     async with aiohttp.ClientSession() as session:
@@ -186,7 +188,11 @@
 
 
 def _picture(
-    cluster: Cluster, evening: Evening, said: list[str], state: dict[str, Any], leader: str | None
+    cluster: Cluster,
+    evening: WorkloadRun,
+    said: list[str],
+    state: dict[str, Any],
+    leader: str | None,
 ) -> Group:
     fleet = Table(box=None, header_style="bold", pad_edge=False)
     for name in ("machine", "type", "zone", "tasks"):
@@ -204,15 +210,15 @@
              style="bold green" if name == leader else "")
         for name in cluster.nodes
     )  # fmt: skip
-    now = time.monotonic() - evening.began
-    over = sum(x.finished is not None for x in evening.courses.values())
+    now = time.monotonic() - evening.started_at
+    over = sum(x.finished is not None for x in evening.records.values())
     head = Text(f"{now:5.1f} s   {over} of {len(evening.jobs)} jobs over   ") + nodes
     if said:
         head += Text(f"   {said[-1]}", style="yellow")
     return Group(head, Panel(jobs_table(evening, 14), title="jobs"), Panel(fleet, title="fleet"))
 
 
-def _verdict(console: Console, evening: Evening, broken: list, paid: float) -> None:
+def _verdict(console: Console, evening: WorkloadRun, broken: list, paid: float) -> None:
     for name, row in evening.summary()["classes"].items():
         in_time = "" if row["in_time"] is None else f", {row['in_time']:.0%} by the deadline"
         median = "" if row["median_s"] is None else f", median {row['median_s']:.1f} s"
@@ -223,7 +229,7 @@
     console.print(f"money: {paid:.4f} at the lab's prices")
     for b in broken:
         console.print(
-            f"[bold red]broken rule[/] {b.rule} at {b.at - evening.began:.1f} s: {b.text}"
+            f"[bold red]broken rule[/] {b.rule} at {b.at - evening.started_at:.1f} s: {b.text}"
         )
     if not broken:
         console.print("[bold green]no rule was broken[/]")
@@ -250,14 +256,14 @@
     with contextlib.ExitStack() as stack:
         if folder is None:
             folder = Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="coveflow-")))
-        from coveflow.lab.experiment import Case, play
+        from coveflow.lab.experiment import Case, run_case
 
         case = Case(
             lab_file(site), for_s, until_s or for_s * 4 + 60, factor, seed,
             fl.load(script) if script else [], tuning, traced,
         )  # fmt: skip
         console = Console(stderr=True)
-        found = driven(play(case, folder, seen=console.print))
+        found = driven(run_case(case, folder, on_message=console.print))
     click.echo(json.dumps(found) if as_json else _loaded(found))
     sys.exit(1 if found["broken"] else 0)
 
@@ -288,7 +294,7 @@
     from coveflow.lab import results
 
     try:
-        plan = ex.matrix(file.read_text(encoding="utf-8"), str(file))
+        plan = ex.parse_matrix(file.read_text(encoding="utf-8"), str(file))
     except OSError as error:
         raise UserError(f"{file}: {error.strerror}") from error
     site, rows, broken = lab_file(plan.site), [], 0
@@ -306,9 +312,9 @@
             played = ex.Case(
                 site, plan.for_s, plan.until_s, factor, seed, list(plan.faults), tuning
             )
-            found = driven(ex.play(played, folder))
+            found = driven(ex.run_case(played, folder))
             broken += len(found["broken"])
-            rows += results.rows_of(case, found)
+            rows += results.class_rows(case, found)
             progress.advance(bar)
     for path in results.write(rows, file.stem, out):
         click.echo(f"wrote {path}")
@@ -320,10 +326,10 @@
 @click.argument("folder", type=click.Path(path_type=Path))
 def check(folder: Path) -> None:
     """Read the history that a lab left in FOLDER and name any broken rule of the protocol."""
-    from coveflow.lab.cluster import judge
+    from coveflow.lab.cluster import check_folder
 
     try:
-        broken = judge(folder)
+        broken = check_folder(folder)
     except LabError as error:
         raise UserError(str(error)) from error
     for b in broken:
@@ -340,7 +346,7 @@
     """Kill a trace's recorder at random moments, then check the trace; some minutes."""
     from rich.progress import Progress
 
-    from coveflow.lab.kills import kill_recorder
+    from coveflow.lab.recorder_kills import kill_recorder
 
     with contextlib.ExitStack() as stack:
         if folder is None:
@@ -384,20 +390,20 @@
         bar = progress.add_task("seeds", total=seeds)
         free = asyncio.Semaphore(at_once)
 
-        async def one(seed: int) -> tasks.Found:
+        async def one(seed: int) -> tasks.HistoryResult:
             async with free:
                 for at in range(LAB_TRIES):
                     where = folder / f"seed-{seed}-{at}"
                     try:
-                        found = await tasks.history(lab_file(site), where, seed, count)
+                        found = await tasks.run_history(lab_file(site), where, seed, count)
                         break
                     except LabError as error:
                         # Labs that start at the same moment may take each other's ports.
-                        found = tasks.Found(seed, wrong=[f"the lab did not start: {error}"])
+                        found = tasks.HistoryResult(seed, wrong=[f"the lab did not start: {error}"])
                 progress.advance(bar)
                 return found
 
-        async def everything() -> list[tasks.Found]:
+        async def everything() -> list[tasks.HistoryResult]:
             return await asyncio.gather(*(one(seed) for seed in range(first, first + seeds)))
 
         found = driven(everything())
@@ -440,7 +446,7 @@
         for known in counts:
             where = folder / f"known-{known}"
             click.echo(json.dumps(
-                driven(tasks.latencies(lab_file(site), where, known, for_s, rates))
+                driven(tasks.measure_latencies(lab_file(site), where, known, for_s, rates))
             ))  # fmt: skip
 
 
@@ -458,7 +464,7 @@
             folder = Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="coveflow-")))
         for rate in (0.0, per_s):
             where = folder / f"flood-{rate:g}"
-            click.echo(json.dumps(driven(tasks.flood(lab_file(site), where, for_s, rate))))
+            click.echo(json.dumps(driven(tasks.measure_flood(lab_file(site), where, for_s, rate))))
 
 
 # --- a lab that stays ------------------------------------------------------------------
--- a/coveflow/cli/scale.py
+++ b/coveflow/cli/scale.py
@@ -38,7 +38,7 @@
     Virtual time; one variable of the load at a time, at four points or more, fitted by a line.
     """
     from coveflow.lab import slopes as s
-    from coveflow.lab.scale import Reading, as_row
+    from coveflow.lab.scale import Reading, to_row
 
     for role in roles:
         if role not in s.ROLES:
@@ -61,14 +61,14 @@
         )
 
     sweeps = s.sweep(list(variables or s.SWEEPS), at_once, done)
-    found = [it for role in roles or s.ROLES for it in s.all_fitted(role, sweeps)]
+    found = [it for role in roles or s.ROLES for it in s.fit_all(role, sweeps)]
     if as_json:
-        readings = {name: [as_row(it) for it in rows] for name, rows in sweeps.items()}
+        readings = {name: [to_row(it) for it in rows] for name, rows in sweeps.items()}
         print(json.dumps({"readings": readings, "slopes": [asdict(it) for it in found]}))
         return
     table = Table("role", "figure", "variable", "slope", "at zero", "largest residual", box=None)
     for it in found:
-        note = "" if it.straight else " (no line)"
+        note = "" if it.is_linear else " (no line)"
         table.add_row(
             it.role, it.figure, it.variable, f"{it.slope:.4g}", f"{it.at_zero:.4g}",
             f"{it.residual:.0%}{note}",
@@ -85,7 +85,7 @@
 
     text = Path(page).read_text(encoding="utf-8")
     try:
-        made = pages.written(text, pages.tables(_sweeps(readings)))
+        made = pages.replace_tables(text, pages.tables(_sweeps(readings)))
     except KeyError as error:
         raise UserError(f"{page}: no place for the table {error}") from error
     Path(page).write_text(made, encoding="utf-8")
@@ -131,14 +131,14 @@
     """
     from coveflow.cli.lab import driven
     from coveflow.lab import scale_run as runs
-    from coveflow.lab.scale import Load, Unfit
+    from coveflow.lab.scale import Load, LoadLimitError
 
     load = Load(machines, running, starts, teams=teams, zones=zones)
     console = Console(stderr=True)
     try:
         work = runs.run(load, for_s, Path(folder), _faulted(faults), console.print)
         report = driven(work)
-    except Unfit as error:
+    except LoadLimitError as error:
         raise UserError(str(error)) from error
     if as_json:
         print(json.dumps(asdict(report)))
@@ -153,7 +153,7 @@
 
     if readings is None:
         return {}
-    found = capacity.predict(capacity.slopes_of(_sweeps(readings)), load)
+    found = capacity.predict(capacity.fit_roles(_sweeps(readings)), load)
     return {it.role: it.value for it in found if it.figure == "process"}
 
 
@@ -179,7 +179,7 @@
 
 
 def _sweeps(readings: str) -> dict[str, list[Any]]:
-    from coveflow.lab.scale import of_row
+    from coveflow.lab.scale import from_row
 
     rows = json.loads(Path(readings).read_text(encoding="utf-8"))["readings"]
-    return {name: [of_row(row) for row in found] for name, found in rows.items()}
+    return {name: [from_row(row) for row in found] for name, found in rows.items()}
--- a/coveflow/cli/timeline.py
+++ b/coveflow/cli/timeline.py
@@ -42,8 +42,8 @@
     if not events:
         raise UserError("no line of a controller's log is in there; was LOG_LEVEL error?")
     told = tl.report(events, faults)
-    served = tl.served(events)
-    low = tl.unserved(served, least)
+    served = tl.service_shares(events)
+    low = tl.underserved(served, least)
     if as_json:
         print(json.dumps(told | {"under_least": low}))
         raise SystemExit(1 if low else 0)
@@ -79,7 +79,7 @@
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 def suspect(hours: float, seed: int, as_json: bool) -> None:
     """Detectors on the same generated intervals: wrong doubts and verdicts, delays (simulated)."""
-    from coveflow.lab import suspect as su
+    from coveflow.lab import detector_comparison as su
 
     found = su.measure(hours, seed)
     if as_json:
--- a/coveflow/lab/capacity.py
+++ b/coveflow/lab/capacity.py
@@ -1,7 +1,7 @@
-"""What each role needs at the operators' size, from measured slopes, as tables of docs/CAPACITY.md.
+"""Predicts each role's resource use at the operators' size and writes docs/CAPACITY.md's tables.
 
-A figure under a load is the base load's plus, for each variable, its slope times the distance from
-the base: variables are taken to add up. Figures that do not follow a line are marked.
+A figure under a load is that of the base load plus, for each variable, its slope times the distance
+from the base: effects are assumed to be additive. Figures that are not linear are marked.
 """
 
 from __future__ import annotations
@@ -10,41 +10,47 @@
 from dataclasses import dataclass, fields
 
 from coveflow.lab.scale import Load, Reading
-from coveflow.lab.slopes import BASE, ROLES, Slope, all_fitted, value_of
+from coveflow.lab.slopes import BASE, ROLES, Slope, fit_all, value_of
 
-# The operators' letter; jobs a second at the peak are ten times the day's mean (55,000 a day).
+# The operators' stated load; peak jobs per second are ten times the daily mean (55,000 a day).
 PEAK = Load(
     machines=5500, running=33_000, starts=1200.0, waiting=10_000, teams=130, zones=14, jobs=6.4
 )
-# A tenth of the peak's starts and the day's mean of jobs, nothing waiting: an assumption.
+# Assumes a tenth of the peak's starts, the daily mean of jobs and no waiting tasks.
 QUIET = Load(machines=5500, running=33_000, starts=120.0, waiting=0, teams=130, zones=14, jobs=0.64)
 
-# s of processor time that a message costs a real process beside the slopes: HTTP, the kernel.
-# Fitted to scale runs of 500, 1,000 and 2,000 hollow workers, met within 20% (docs/CAPACITY.md).
+# s of processor time that a message costs a real process in HTTP parsing and the kernel, which the
+# slopes leave out. Scale runs of 500, 1,000 and 2,000 hollow workers agree within 20%
+# (docs/CAPACITY.md).
 HTTP_S = 0.0004
-PER_FLEET = ("running", "starts", "waiting", "jobs")  # variables that the workers share
+SHARED_BY_WORKERS = (
+    "running",
+    "starts",
+    "waiting",
+    "jobs",
+)  # variables that are divided among the workers
 
 TITLES = {
     "cores": "event loop, cores", "process": "whole process, cores", "messages": "messages/s",
     "bytes": "bytes/s", "bytes in": "bytes in/s", "bytes out": "bytes out/s",
     "book bytes": "book, bytes", "record bytes": "records, bytes",
 }  # fmt: skip
-BEGIN, END = "<!-- made by coveflow lab scale page: {} -->", "<!-- end -->"
+MARKER_BEGIN, MARKER_END = "<!-- made by coveflow lab scale page: {} -->", "<!-- end -->"
 
 
 @dataclass(frozen=True)
 class Prediction:
-    """A figure of a role under a load; `parts` are what each variable adds to the base."""
+    """A predicted figure of a role; `parts` holds what each variable adds to the base."""
 
     role: str
     figure: str
     value: float
     parts: dict[str, float]
-    straight: bool  # whether all slopes that it uses fit a line
+    is_linear: bool  # whether all slopes used are linear
 
 
 def predict(slopes: list[Slope], load: Load) -> list[Prediction]:
-    """All figures of all roles that have slopes, under the load."""
+    """Predict all figures that have slopes, under the load."""
     found: dict[tuple[str, str], list[Slope]] = {}
     for slope in slopes:
         found.setdefault((slope.role, slope.figure), []).append(slope)
@@ -53,32 +59,32 @@
 
 
 def _processes(rows: list[Prediction]) -> list[Prediction]:
-    """What whole processes of a role spend, with the work for each message."""
+    """Processor time of whole processes: event loop and cost per message."""
     by = {(row.role, row.figure): row for row in rows}
     found = []
     for role in ("leader", "follower"):
         loop, messages = by.get((role, "cores")), by.get((role, "messages"))
         if loop is not None and messages is not None:
             parts = {"event loop": loop.value, "messages": HTTP_S * messages.value}
-            found.append(Prediction(role, "process", sum(parts.values()), parts, loop.straight))
+            found.append(Prediction(role, "process", sum(parts.values()), parts, loop.is_linear))
     return found
 
 
 def _predicted(role: str, figure: str, slopes: list[Slope], load: Load) -> Prediction:
     base = sum(s.at_zero + s.slope * getattr(BASE, s.variable) for s in slopes) / len(slopes)
-    # A worker has a part of what the fleet runs, starts and ends.
+    # A worker has its share of the tasks that the fleet runs and starts.
     part = BASE.machines / load.machines if role == "worker" else 1.0
     parts = {}
     for s in slopes:
-        there = getattr(load, s.variable) * (part if s.variable in PER_FLEET else 1.0)
+        there = getattr(load, s.variable) * (part if s.variable in SHARED_BY_WORKERS else 1.0)
         parts[s.variable] = s.slope * (there - getattr(BASE, s.variable))
-    straight = all(s.straight for s in slopes)
+    straight = all(s.is_linear for s in slopes)
     return Prediction(role, figure, max(0.0, base + sum(parts.values())), parts, straight)
 
 
-def slopes_of(sweeps: dict[str, list[Reading]]) -> list[Slope]:
-    """Of every role."""
-    return [slope for role in ROLES for slope in all_fitted(role, sweeps)]
+def fit_roles(sweeps: dict[str, list[Reading]]) -> list[Slope]:
+    """Fit all figures of every role."""
+    return [slope for role in ROLES for slope in fit_all(role, sweeps)]
 
 
 def _number(value: float) -> str:
@@ -94,7 +100,7 @@
 
 
 def table_of_slopes(slopes: list[Slope]) -> str:
-    """A row for each figure: what one unit more of each variable adds, with largest residual."""
+    """A row for each figure: its slope along each variable, with the largest residual."""
     variables = list(dict.fromkeys(s.variable for s in slopes))
     lines = [_row("role", "figure", *variables), _row(*["---"] * (len(variables) + 2))]
     for role, figure in dict.fromkeys((s.role, s.figure) for s in slopes):
@@ -107,13 +113,13 @@
 
 
 def table_at_size(slopes: list[Slope]) -> str:
-    """Each figure at the quiet load and at the peak, and what adds most to it there."""
+    """Each figure at the quiet and the peak load, and the variables that add most at the peak."""
     quiet = {(p.role, p.figure): p for p in predict(slopes, QUIET)}
     lines = [_row("role", "figure", "quiet", "peak", "most of it from"), _row(*["---"] * 5)]
     for peak in predict(slopes, PEAK):
         largest = sorted(peak.parts, key=lambda name: -peak.parts[name])[:2]
         why = ", ".join(f"{name} {_number(peak.parts[name])}" for name in largest)
-        note = "" if peak.straight else " (not a line)"
+        note = "" if peak.is_linear else " (not a line)"
         lines.append(
             _row(
                 peak.role, TITLES[peak.figure], _number(quiet[peak.role, peak.figure].value),
@@ -124,7 +130,7 @@
 
 
 def table_of_points(sweeps: dict[str, list[Reading]]) -> str:
-    """The leader's and a follower's processor time as measured, point by point."""
+    """The measured processor time of the leader and a follower, a row per point."""
     lines = [
         _row("variable", "value", "machines", "running", "starts/s", "leader, cores",
              "follower, cores", "leader's book, bytes"),
@@ -143,7 +149,7 @@
 
 
 def table_of_loads() -> str:
-    """What the loads hold."""
+    """The values of the base, quiet and peak loads."""
     names = [field.name for field in fields(Load)]
     lines = [_row("load", *names), _row(*["---"] * (len(names) + 1))]
     for title, load in (("base of the sweeps", BASE), ("quiet", QUIET), ("peak", PEAK)):
@@ -153,7 +159,7 @@
 
 def tables(sweeps: dict[str, list[Reading]]) -> dict[str, str]:
     """The page's tables by name."""
-    slopes = slopes_of(sweeps)
+    slopes = fit_roles(sweeps)
     return {
         "loads": table_of_loads(),
         "at size": table_at_size(slopes),
@@ -162,13 +168,16 @@
     }
 
 
-def written(page: str, made: dict[str, str]) -> str:
-    """The page with its tables made anew. Raises KeyError where a table's place is missing."""
+def replace_tables(page: str, made: dict[str, str]) -> str:
+    """The page with its tables replaced. Raises KeyError if a table's markers are missing."""
     for name, table in made.items():
-        begin = BEGIN.format(name)
-        pattern = re.escape(begin) + r".*?" + re.escape(END)
+        begin = MARKER_BEGIN.format(name)
+        pattern = re.escape(begin) + r".*?" + re.escape(MARKER_END)
         page, count = re.subn(
-            pattern, lambda _, b=begin, t=table: f"{b}\n\n{t}\n\n{END}", page, flags=re.DOTALL
+            pattern,
+            lambda _, b=begin, t=table: f"{b}\n\n{t}\n\n{MARKER_END}",
+            page,
+            flags=re.DOTALL,
         )
         if count != 1:
             raise KeyError(name)
--- a/coveflow/lab/cluster.py
+++ b/coveflow/lab/cluster.py
@@ -1,4 +1,8 @@
-"""A lab as processes on this machine: the stand-ins, the controllers, and their end."""
+"""Runs a lab as processes on this machine: the simulated services and the real controllers.
+
+One process is the state service, one the fleet with its cloud, and each controller has its own. A
+controller that exits is restarted; `stop` ends every process.
+"""
 
 from __future__ import annotations
 
@@ -27,25 +31,25 @@
 from coveflow.lab.runner import kill_with_parent
 
 LOCAL = "127.0.0.1"
-READY_S = 20.0  # s within which all controllers must be healthy
-PORTS = (10_000, 32_000)  # below the range of ports that outgoing connections get
+READY_TIMEOUT_S = 20.0  # s within which all controllers must be healthy
+PORT_RANGE = (10_000, 32_000)  # below the kernel's range of ephemeral ports
 clock = time.monotonic
 
 
 class LabError(Exception):
-    """The lab could not be started or driven; the text says where to look."""
+    """The lab could not be started or a request to it failed; the text says where to look."""
 
 
 def free_ports(count: int) -> list[int]:
-    """Ports of loopback that nobody listens on, below those that the kernel gives to clients.
+    """Loopback ports without a listener, below the kernel's range of ephemeral ports.
 
-    Labs that start at the same time once took each other's, and outgoing connections took some
-    between the look and the use.
+    From the ephemeral range, an outgoing connection could take a port between the check and its
+    use. The choice is random, since labs that start at the same time would pick the same ports.
     """
-    rng = random.Random()  # not the site's seed: two labs of one site must differ
+    rng = random.Random()  # not seeded by the site: two labs of one site need different ports
     found: list[int] = []
     while len(found) < count:
-        port = rng.randrange(*PORTS)
+        port = rng.randrange(*PORT_RANGE)
         with contextlib.closing(socket.socket()) as s, contextlib.suppress(OSError):
             s.bind((LOCAL, port))
             if port not in found:
@@ -54,28 +58,28 @@
 
 
 @dataclass
-class Child:
+class ChildProcess:
     name: str
     command: list[str]
     log: Path
     process: asyncio.subprocess.Process | None = None
-    keeper: asyncio.Task[None] | None = None
+    supervisor: asyncio.Task[None] | None = None
 
 
 @dataclass
 class Cluster:
-    """Ports, settings and processes of one lab in a folder of its own."""
+    """Ports, settings and processes of one lab, kept in its own folder."""
 
     site_file: Path
     folder: Path
     tuning: Path | None = None
     log_level: str = "info"
-    tes: str | None = None  # forms of `(tes ...)` beside addresses and tokens; None: not served
-    filled: int = 0  # tasks of that API that are over when the lab begins
-    tokens: dict[str, str] = field(default_factory=dict)  # by team, and `auditor`
+    tes: str | None = None  # further forms of `(tes ...)`; None: the API is not served
+    finished_tasks: int = 0  # finished tasks of that API that exist when the lab starts
+    tokens: dict[str, str] = field(default_factory=dict)  # API tokens by team, and of `auditor`
     site: sites.Site = field(init=False)
     nodes: dict[str, dict[str, Any]] = field(default_factory=dict)
-    children: dict[str, Child] = field(default_factory=dict)
+    children: dict[str, ChildProcess] = field(default_factory=dict)
     plan: dict[str, Any] = field(default_factory=dict)
     restarts: int = 0
     closing: bool = False
@@ -85,7 +89,7 @@
 
     # --- files -------------------------------------------------------------------------
 
-    def _lay_out(self) -> None:
+    def _write_files(self) -> None:
         self.folder.mkdir(parents=True, exist_ok=True)
         names = [f"host-{i}" for i in range(self.site.controllers)]
         zones = self.site.zones
@@ -120,18 +124,18 @@
             shutil.copyfile(self.site_file, self.folder / "lab.scm")
         self.plan |= {
             "links": links, "history": str(history), "site": str(self.folder / "lab.scm"),
-            "tasks": str(self.folder / "tasks"), "filled": self.filled,
+            "tasks": str(self.folder / "tasks"), "filled": self.finished_tasks,
         }  # fmt: skip
         (self.folder / "plan.cbor").write_bytes(wire.pack(self.plan))
         for name in names:
             text = self._settings(name, peers)
             (self.folder / f"{name}.toml").write_text(text, encoding="utf-8")
         if self.tes is not None:
-            self._serve_tasks(self.tes)
+            self._enable_task_api(self.tes)
 
-    def _serve_tasks(self, more: str) -> None:
-        """Operators' files with the task execution API in them, and a token for each team."""
-        from coveflow.tes import access  # an extra that a lab without the API does not need
+    def _enable_task_api(self, options: str) -> None:
+        """Write the token file and a tuning file that enables the task execution API."""
+        from coveflow.tes import access  # optional dependency, needed for the API only
 
         rows = []
         for name in [team.name for team in self.site.teams]:
@@ -148,7 +152,7 @@
             items = [
                 forms.format_form(item) for item in forms.read(text, str(self.tuning), "coveflow")
             ]
-        items.append(f"(tes (listen {listen}) (tokens tokens.scm) {more})")
+        items.append(f"(tes (listen {listen}) (tokens tokens.scm) {options})")
         self.tuning = self.folder / "tuning.scm"
         self.tuning.write_text("(coveflow " + "\n".join(items) + ")\n", encoding="utf-8")
 
@@ -183,8 +187,8 @@
     # --- processes ---------------------------------------------------------------------
 
     async def start(self) -> None:
-        """Start everything and wait until users are served; LabError if that takes too long."""
-        self._lay_out()
+        """Start all processes and wait until all controllers are healthy; LabError on timeout."""
+        self._write_files()
         plan = str(self.folder / "plan.cbor")
         for role in ("state", "fleet"):
             await self._launch(role, [sys.executable, "-m", "coveflow.lab.serve", role, plan])
@@ -194,11 +198,11 @@
                 command += ["--tuning", str(self.tuning)]
             command += ["--config", str(self.folder / f"{name}.toml")]
             await self._launch(name, command)
-        await self._ready()
+        await self._wait_until_healthy()
         (self.folder / "lab.json").write_text(
             json.dumps(
                 {
-                    "nodes": self.fronts(),
+                    "nodes": self.front_addresses(),
                     "lab": self.plan["lab"],
                     "pid": os.getpid(),
                     "tes": self.task_urls(),
@@ -208,11 +212,11 @@
         )
 
     async def _launch(self, name: str, command: list[str]) -> None:
-        child = self.children[name] = Child(name, command, self.folder / f"{name}.log")
+        child = self.children[name] = ChildProcess(name, command, self.folder / f"{name}.log")
         await self._run(child)
-        child.keeper = asyncio.create_task(self._keep(child))
+        child.supervisor = asyncio.create_task(self._supervise(child))
 
-    async def _run(self, child: Child) -> None:
+    async def _run(self, child: ChildProcess) -> None:
         with child.log.open("ab") as log:
             child.process = await asyncio.create_subprocess_exec(
                 *child.command,
@@ -223,8 +227,8 @@
                 preexec_fn=kill_with_parent,
             )
 
-    async def _keep(self, child: Child) -> None:
-        """A controller that ended is started again after the site's pause; a stand-in is not."""
+    async def _supervise(self, child: ChildProcess) -> None:
+        """Restart an exited controller after the site's delay; simulated services stay down."""
         while True:
             assert child.process is not None
             await child.process.wait()
@@ -234,22 +238,22 @@
             await asyncio.sleep(self.site.restart_s)
             await self._run(child)
 
-    async def _ready(self) -> None:
-        ends = clock() + READY_S
+    async def _wait_until_healthy(self) -> None:
+        deadline = clock() + READY_TIMEOUT_S
         async with aiohttp.ClientSession() as session:
             for name, node in self.nodes.items():
-                while not await _healthy(session, f"{LOCAL}:{node['front']}"):
-                    if clock() > ends:
+                while not await _is_healthy(session, f"{LOCAL}:{node['front']}"):
+                    if clock() > deadline:
                         log = self.folder / f"{name}.log"
-                        raise LabError(f"{name} is not up after {READY_S:g} s; see {log}")
+                        raise LabError(f"{name} is not up after {READY_TIMEOUT_S:g} s; see {log}")
                     await asyncio.sleep(0.1)
 
     async def stop(self) -> None:
-        """End every process; none is left when this returns."""
+        """Kill every process and wait until all have exited."""
         self.closing = True
         for child in self.children.values():
-            if child.keeper is not None:
-                child.keeper.cancel()
+            if child.supervisor is not None:
+                child.supervisor.cancel()
             if child.process is not None and child.process.returncode is None:
                 with contextlib.suppress(ProcessLookupError):
                     child.process.kill()
@@ -257,24 +261,24 @@
             if child.process is not None:
                 await child.process.wait()
 
-    # --- driving -----------------------------------------------------------------------
+    # --- requests ----------------------------------------------------------------------
 
-    def fronts(self) -> list[str]:
+    def front_addresses(self) -> list[str]:
         return [f"{LOCAL}:{node['front']}" for node in self.nodes.values()]
 
     def task_urls(self) -> list[str]:
-        """Where the task execution API is, if it is served."""
+        """URLs of the task execution API; empty if it is not served."""
         if self.tes is None:
             return []
         return [f"http://{LOCAL}:{node['tes']}" for node in self.nodes.values()]
 
-    def signal_node(self, name: str, what: signal.Signals) -> None:
+    def signal_node(self, name: str, signal_number: signal.Signals) -> None:
         process = self.children[name].process
         if process is not None and process.returncode is None:
-            process.send_signal(what)
+            process.send_signal(signal_number)
 
     async def leader(self, session: aiohttp.ClientSession) -> str | None:
-        """Who leads, by the controllers' own word on the cluster address."""
+        """The first controller that answers a ping on its cluster address as leader."""
         for name, node in self.nodes.items():
             with contextlib.suppress(aiohttp.ClientError, TimeoutError, OSError, KeyError):
                 async with session.post(
@@ -287,7 +291,7 @@
         return None
 
     async def ask(self, session: aiohttp.ClientSession, path: str, body: Any = None) -> Any:
-        """The fleet's own interface; the state service's under `/state...`."""
+        """Send a request to the fleet, or for a path `/state...` to the state service."""
         port = self.plan["lab"]
         if path.startswith("/state"):
             path, port = path[len("/state") :], next(iter(self.plan["state"].values()))
@@ -304,7 +308,7 @@
         await self.ask(session, "/lab/upload", {"spec": msgspec.to_builtins(spec)})
 
     def history(self, extra: list[dict[str, Any]]) -> list[dict[str, Any]]:
-        """Workers' rows of the lab and the users' rows, in order of time."""
+        """The workers' history rows and the given rows of the users, sorted by time."""
         path = self.folder / "history-fleet.jsonl"
         rows = list(extra)
         if path.exists():
@@ -319,8 +323,8 @@
         return Checker(self.site.teams, self.site.workers["cancel-s"]).check_history(rows)
 
 
-def judge(folder: Path) -> list[Violation]:
-    """The rules that the history kept in a lab's folder breaks. Raises LabError without one."""
+def check_folder(folder: Path) -> list[Violation]:
+    """Check the history in a lab's folder; returns broken rules. Raises LabError without one."""
     rows: list[dict[str, Any]] = []
     try:
         site = sites.load(folder / "lab.scm")
@@ -335,7 +339,7 @@
     return Checker(site.teams, site.workers["cancel-s"]).check_history(rows)
 
 
-async def _healthy(session: aiohttp.ClientSession, node: str) -> bool:
+async def _is_healthy(session: aiohttp.ClientSession, node: str) -> bool:
     try:
         async with session.get(
             f"http://{node}{wire.HEALTH_PATH}", timeout=aiohttp.ClientTimeout(total=1.0)
--- a/coveflow/lab/experiment.py
+++ b/coveflow/lab/experiment.py
@@ -1,4 +1,4 @@
-"""One evening on a lab of its own, and matrices of them: settings times seeds."""
+"""Runs a workload on its own lab, and experiments: the product of tunings, factors and seeds."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from coveflow.lab import faults as fl
 from coveflow.lab import workload
 from coveflow.lab.cluster import Cluster
-from coveflow.lab.evening import Evening
+from coveflow.lab.workload_run import WorkloadRun
 from coveflow.trace.record import Recorder
 
-TRACE_TUNING = "(coveflow (trace 50000))\n"  # where no operators' file is given
-SETTLE_S = 4.0  # s until every machine that is up has found the leader
-LAST_ROWS_S = 1.5  # s for workers' last rows and the recorder's last events
+TRACE_TUNING = "(coveflow (trace 50000))\n"  # used when no tuning file is given
+SETTLE_S = 4.0  # s for every running machine to find the leader
+FLUSH_S = 1.5  # s for the workers' last history rows and the recorder's last events
 
 
 @dataclass
@@ -37,23 +37,23 @@
     traced: bool = False
 
 
-async def play(
-    case: Case, folder: Path, seen: Callable[[str], None] = lambda text: None
+async def run_case(
+    case: Case, folder: Path, on_message: Callable[[str], None] = lambda text: None
 ) -> dict[str, Any]:
-    """Start a lab, play the evening, end the lab; its summary, jobs and broken rules."""
+    """Start a lab, run the case and stop the lab; returns summary, jobs and broken rules."""
     tuning = _tuning(case, folder)
     cluster = Cluster(case.site, folder, tuning)
     if case.seed is not None:
         cluster.site.seed = case.seed
     jobs = workload.draw(cluster.site, case.for_s, case.factor)
-    said: list[str] = []
+    messages: list[str] = []
 
     def note(text: str) -> None:
-        said.append(text)
-        seen(text)
+        messages.append(text)
+        on_message(text)
 
-    evening = Evening(cluster, jobs, case.faults, seen=note)
-    seen(f"{len(jobs)} jobs in {case.for_s:g} s on {sum(cluster.site.up.values())} machines")
+    workload_run = WorkloadRun(cluster, jobs, case.faults, on_message=note)
+    on_message(f"{len(jobs)} jobs in {case.for_s:g} s on {sum(cluster.site.up.values())} machines")
     async with contextlib.AsyncExitStack() as stack:
         stack.push_async_callback(cluster.stop)
         await cluster.start()
@@ -64,30 +64,30 @@
             recorder = Recorder(settings, folder / "trace", session)
             recording = asyncio.create_task(recorder.run())
         await asyncio.sleep(SETTLE_S)
-        await evening.run(case.until_s)
-        await asyncio.sleep(LAST_ROWS_S)
+        await workload_run.run(case.until_s)
+        await asyncio.sleep(FLUSH_S)
         state = await cluster.ask(session, "/lab/state")
         store = await cluster.ask(session, "/state/lab/state")
         if recording is not None:
             recording.cancel()
             await asyncio.gather(recording, return_exceptions=True)
-    broken = evening.broken()
+    broken = workload_run.broken_rules()
     rows = [
         {
             "job": x.spec.id, "class": x.spec.workload, "tasks": x.spec.tasks,
-            "status": x.status, "submitted_s": x.due - evening.began, "took_s": x.took_s,
-            "late": x.late,
+            "status": x.status, "submitted_s": x.due - workload_run.started_at, "took_s": x.took_s,
+            "late": x.missed_deadline,
         }
-        for x in evening.courses.values()
+        for x in workload_run.records.values()
     ]  # fmt: skip
-    return evening.summary() | {
-        "jobs": rows, "faults": said, "paid": state["paid"], "puts": store["puts"],
+    return workload_run.summary() | {
+        "jobs": rows, "faults": messages, "paid": state["paid"], "puts": store["puts"],
         "broken": [{"rule": b.rule, "at": b.at, "text": b.text} for b in broken],
     }  # fmt: skip
 
 
 def _tuning(case: Case, folder: Path) -> Path | None:
-    """The controllers' operators' file: as given, with a trace where one is asked for."""
+    """The controllers' tuning file: the given one, with tracing added where the case needs it."""
     folder.mkdir(parents=True, exist_ok=True)
     if not case.traced:
         return case.tuning
@@ -112,7 +112,7 @@
     until_s: float = 300.0
     seeds: list[int] = field(default_factory=lambda: [1])
     factors: list[float] = field(default_factory=lambda: [1.0])
-    tunings: dict[str, str] = field(default_factory=dict)  # name to the operators' form
+    tunings: dict[str, str] = field(default_factory=dict)  # tuning form by name
     faults: list[fl.Fault] = field(default_factory=list)
 
     def cases(self) -> list[tuple[str, float, int]]:
@@ -120,8 +120,8 @@
         return list(itertools.product(names, self.factors, self.seeds))
 
 
-def matrix(text: str, origin: str) -> Matrix:
-    """FormError names the form that is wrong."""
+def parse_matrix(text: str, origin: str) -> Matrix:
+    """Parse an experiment file. Raises FormError, which names the invalid form."""
     found = Matrix()
     for item in forms.read(text, origin, "experiment"):
         key, words = forms.entry(item, origin)
--- a/coveflow/lab/faults.py
+++ b/coveflow/lab/faults.py
@@ -1,14 +1,14 @@
-"""Faults at set times, as S-expressions.
+"""Injects faults into a lab at given times, read from S-expressions.
 
 (faults
   (at 12 kill leader)                     ; a controller: leader, host-1 or all
-  (at 15 pause host-1 (for 5))            ; stopped, then it goes on
+  (at 15 pause host-1 (for 5))            ; SIGSTOP, SIGCONT after 5 s
   (at 20 cut north south (for 10) (mode hold))   ; hold, reset or refuse
   (at 30 outage state (for 5))            ; or cloud
-  (at 30 slow state (by 0.3) (for 5))     ; late: applied late and not answered
-  (at 30 refuse host-1 (for 5))           ; by the state service alone
+  (at 30 slow state (by 0.3) (for 5))     ; late: requests applied late and not answered
+  (at 30 refuse host-1 (for 5))           ; the state service refuses this host
   (at 40 machines kill (count 2))         ; hang, sick, slow, take
-  (at 50 drain busiest))                  ; an operator's drain of a machine
+  (at 50 drain busiest))                  ; an operator drains a machine
 """
 
 from __future__ import annotations
@@ -26,23 +26,23 @@
 from coveflow.lab.cluster import LOCAL, Cluster
 
 KINDS = ("kill", "pause", "cut", "outage", "slow", "late", "refuse", "machines", "drain", "release")
-MACHINES = ("kill", "hang", "sick", "slow", "take")
+MACHINE_FAULTS = ("kill", "hang", "sick", "slow", "take")
 MODES = ("hold", "reset", "refuse")
-# Options of each fault beyond `for`, in s, with their defaults.
-OPTIONS = {"by": 0.3, "count": 1.0, "factor": 2.0, "notice": 0.0}
+# Defaults of the options other than `for` and `mode`; `by` and `notice` in s.
+DEFAULT_OPTIONS = {"by": 0.3, "count": 1.0, "factor": 2.0, "notice": 0.0}
 
 
 @dataclass(frozen=True)
 class Fault:
     at: float
     kind: str
-    who: tuple[str, ...]
+    targets: tuple[str, ...]
     for_s: float = 5.0
     mode: str = "hold"
     options: dict[str, float] = field(default_factory=dict)
 
     def __str__(self) -> str:
-        return " ".join([self.kind, *self.who])
+        return " ".join([self.kind, *self.targets])
 
 
 def load(path: Path) -> list[Fault]:
@@ -53,25 +53,25 @@
 
 
 def parse(text: str, origin: str) -> list[Fault]:
-    """Faults in order of their times; FormError names the form that is wrong."""
-    found = [_fault(item, origin) for item in forms.read(text, origin, "faults")]
+    """Faults sorted by time. Raises FormError, which names the invalid form."""
+    found = [_parse_fault(item, origin) for item in forms.read(text, origin, "faults")]
     return sorted(found, key=lambda fault: fault.at)
 
 
-def _fault(item: Any, origin: str) -> Fault:
+def _parse_fault(item: Any, origin: str) -> Fault:
     shown = forms.format_form(item)
     if not isinstance(item, list) or len(item) < 4 or item[0] != "at":
         raise forms.FormError(f"{origin}: {shown} is not (at SECONDS KIND WHO (for S) ...)")
     at = forms.number("at", [item[1]], origin, 0)
     kind = forms.word("at", [item[2]], f"{origin}: {shown}", KINDS)
-    who = tuple(word for word in item[3:] if isinstance(word, str))
+    targets = tuple(word for word in item[3:] if isinstance(word, str))
     table = forms.table([form for form in item[3:] if not isinstance(form, str)], origin)
     needed = 2 if kind == "cut" else 1
-    if len(who) != needed:
+    if len(targets) != needed:
         raise forms.FormError(f"{origin}: {shown}: {kind} takes {needed} name(s)")
     if kind == "machines":
-        forms.word("machines", [who[0]], f"{origin}: {shown}", MACHINES)
-    options = dict(OPTIONS)
+        forms.word("machines", [targets[0]], f"{origin}: {shown}", MACHINE_FAULTS)
+    options = dict(DEFAULT_OPTIONS)
     for_s, mode = 5.0, "hold"
     for key, words in table.items():
         if key == "for":
@@ -82,11 +82,11 @@
             options[key] = forms.number(key, words, origin, 0)
         else:
             raise forms.FormError(f"{origin}: {shown}: {key} is not an option")
-    return Fault(at, kind, who, for_s, mode, options)
+    return Fault(at, kind, targets, for_s, mode, options)
 
 
-def sides(cluster: Cluster, name: str) -> set[str]:
-    """The ends of links that a name stands for."""
+def link_ends(cluster: Cluster, name: str) -> set[str]:
+    """The link endpoints that a name in a `cut` stands for."""
     nodes, zones = cluster.nodes, cluster.site.zones
     if name in zones:
         return {name} | {n for n, node in nodes.items() if node["zone"] == name}
@@ -99,35 +99,35 @@
 
 
 def links_between(cluster: Cluster, a: str, b: str) -> list[str]:
-    one, other = sides(cluster, a), sides(cluster, b)
+    ends_a, ends_b = link_ends(cluster, a), link_ends(cluster, b)
     found = []
     for name, _, _ in cluster.plan["links"]:
         src, _, dst = name.partition("->")
-        if (src in one and dst in other) or (src in other and dst in one):
+        if (src in ends_a and dst in ends_b) or (src in ends_b and dst in ends_a):
             found.append(name)
     return found
 
 
-async def _drain(cluster: Cluster, session: aiohttp.ClientSession, who: str) -> str:
-    if who == "busiest":
+async def _drain(cluster: Cluster, session: aiohttp.ClientSession, target: str) -> str:
+    if target == "busiest":
         machines = (await cluster.ask(session, "/lab/state"))["machines"]
-        who = max(machines, key=lambda m: sum(t[2] == "running" for t in m["tasks"]))["name"]
-    answer = await _operator(cluster, session, DRAIN, {"machine": who, "on": True})
-    return f"drain {who}" + ("" if answer is not None else ": not answered")
+        target = max(machines, key=lambda m: sum(t[2] == "running" for t in m["tasks"]))["name"]
+    answer = await _operator_request(cluster, session, DRAIN, {"machine": target, "on": True})
+    return f"drain {target}" + ("" if answer is not None else ": not answered")
 
 
 async def _release(cluster: Cluster, session: aiohttp.ClientSession) -> str:
-    answer = await _operator(cluster, session, HELD, {})
+    answer = await _operator_request(cluster, session, HELD, {})
     jobs = [row["job"] for row in (answer or {"held": []})["held"] if row["held"]]
     for job in jobs:
-        await _operator(cluster, session, RELEASE, {"job": job, "again": True})
+        await _operator_request(cluster, session, RELEASE, {"job": job, "again": True})
     return f"release {', '.join(jobs) or 'nothing'}"
 
 
-async def _operator(
+async def _operator_request(
     cluster: Cluster, session: aiohttp.ClientSession, path: str, body: dict[str, Any]
 ) -> dict[str, Any] | None:
-    """What an operator's tool asks of the leader; None if nobody leads or it says no."""
+    """Send an operator's request to the leader; None without a leader or if it is rejected."""
     leader = await cluster.leader(session)
     if leader is None:
         return None
@@ -136,13 +136,13 @@
         return wire.unpack(await response.read()) if response.status == 200 else None
 
 
-async def carry_out(cluster: Cluster, session: aiohttp.ClientSession, fault: Fault) -> str:
-    """Do it; what was done, in words."""
-    who = fault.who[0]
+async def apply_fault(cluster: Cluster, session: aiohttp.ClientSession, fault: Fault) -> str:
+    """Apply the fault; returns a description of what was done."""
+    target = fault.targets[0]
     if fault.kind in ("kill", "pause"):
-        if who == "leader":
-            who = await cluster.leader(session) or next(iter(cluster.nodes))
-        chosen = list(cluster.nodes) if who == "all" else [who]
+        if target == "leader":
+            target = await cluster.leader(session) or next(iter(cluster.nodes))
+        chosen = list(cluster.nodes) if target == "all" else [target]
         for name in chosen:
             if fault.kind == "kill":
                 cluster.signal_node(name, signal.SIGKILL)
@@ -153,24 +153,28 @@
                 )
         return f"{fault.kind} {', '.join(chosen)}"
     if fault.kind == "drain":
-        return await _drain(cluster, session, who)
+        return await _drain(cluster, session, target)
     if fault.kind == "release":
         return await _release(cluster, session)
-    order: dict[str, Any] = {"for_s": fault.for_s, "by_s": fault.options["by"]}
+    request: dict[str, Any] = {"for_s": fault.for_s, "by_s": fault.options["by"]}
     if fault.kind == "cut":
-        order |= {"kind": "cut", "links": links_between(cluster, *fault.who), "mode": fault.mode}
+        request |= {
+            "kind": "cut",
+            "links": links_between(cluster, *fault.targets),
+            "mode": fault.mode,
+        }
     elif fault.kind == "machines":
-        order |= {
-            "kind": who,
+        request |= {
+            "kind": target,
             "count": fault.options["count"],
             "factor": fault.options["factor"],
             "notice_s": fault.options["notice"],
         }
-    elif fault.kind == "outage" and who == "cloud":
-        order |= {"kind": "cloud-outage"}
+    elif fault.kind == "outage" and target == "cloud":
+        request |= {"kind": "cloud-outage"}
     else:
-        order |= {"kind": fault.kind, "who": who}
-        await cluster.ask(session, "/state/lab/fault", order)
+        request |= {"kind": fault.kind, "who": target}
+        await cluster.ask(session, "/state/lab/fault", request)
         return str(fault)
-    await cluster.ask(session, "/lab/fault", order)
+    await cluster.ask(session, "/lab/fault", request)
     return str(fault)
--- a/coveflow/lab/kills.py
+++ b/coveflow/lab/recorder_kills.py
@@ -1,4 +1,4 @@
-"""A recorder killed at random moments while events keep coming; then its trace is checked."""
+"""Kills a trace recorder at random times while events are emitted, then verifies its trace."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from coveflow.lab.serve import listen
 from coveflow.trace.files import Findings, read, verify
 
-EVENTS_S = 400.0  # events a second
-LEAD_S = 20.0  # s of one lead
-KEPT = 200_000  # events kept, so that a recorder that is away misses none
-AWAY_S = (0.4, 2.2)  # s until a kill: before, while and after it has started
-DRAINED_S = 3.0  # s of undisturbed recording at the end
+EVENTS_PER_S = 400.0  # events emitted a second
+TERM_S = 20.0  # s of one leadership term
+RETAINED_EVENTS = 200_000  # events kept by the tracer, enough that a stopped recorder misses none
+KILL_DELAY_S = (0.4, 2.2)  # s from start to kill: before, during and after the recorder's startup
+FINAL_RECORDING_S = 3.0  # s of uninterrupted recording at the end
 
 SETTINGS = """host_name = "a"
 area = "here"
@@ -52,12 +52,12 @@
 
 
 @dataclass
-class Kills:
-    """What came of it: `missing` are events that were told and are neither there nor in a gap."""
+class KillResult:
+    """Result of a run; `missing` counts events neither in the trace nor in a recorded gap."""
 
     kills: int = 0
-    told: int = 0
-    found: Findings = field(default_factory=Findings)
+    emitted: int = 0
+    findings: Findings = field(default_factory=Findings)
     missing: int = 0
     differing: int = 0
 
@@ -69,7 +69,7 @@
     }  # fmt: skip
 
 
-def _lay_out(folder: Path, port: int) -> Path:
+def _write_settings(folder: Path, port: int) -> Path:
     folder.mkdir(parents=True, exist_ok=True)
     config = folder / "node.toml"
     config.write_text(SETTINGS.format(cluster=f"127.0.0.1:{port}"), encoding="utf-8")
@@ -77,11 +77,11 @@
 
 
 async def kill_recorder(
-    folder: Path, times: int, seed: int, seen: Callable[[int], None] = lambda n: None
-) -> Kills:
-    """Kill a recorder `times` times with no warning while a controller's events go on."""
+    folder: Path, times: int, seed: int, on_kill: Callable[[int], None] = lambda n: None
+) -> KillResult:
+    """SIGKILL a recorder `times` times while a controller keeps emitting events."""
     rng = random.Random(seed)
-    tracer = Tracer(KEPT, time.monotonic, time.time, "one")
+    tracer = Tracer(RETAINED_EVENTS, time.monotonic, time.time, "one")
     told: dict[tuple[int, int], dict[str, Any]] = {}
     epoch = 0
 
@@ -93,9 +93,9 @@
                 told[(epoch, tracer.last_number[epoch])] = {"why": "the next one leads"}
             epoch += 1
             tracer.begin(epoch)
-            ends = time.monotonic() + LEAD_S
+            ends = time.monotonic() + TERM_S
             while time.monotonic() < ends:
-                for _ in range(int(EVENTS_S * 0.05)):
+                for _ in range(int(EVENTS_PER_S * 0.05)):
                     fields = _fields(rng)
                     tracer.emit(epoch, "placed", fields)
                     told[(epoch, tracer.last_number[epoch])] = fields
@@ -108,7 +108,7 @@
         return web.Response(body=wire.pack(answer | more))
 
     port, runner = await listen(handle, 0)
-    config, trace = _lay_out(folder, port), folder / "trace"
+    config, trace = _write_settings(folder, port), folder / "trace"
     command = [sys.executable, "-m", "coveflow.cli", "trace", "record"]
     command += ["--config", str(config), "--out", str(trace)]
 
@@ -118,34 +118,34 @@
             *command, *more, stdout=quiet, stderr=quiet, preexec_fn=_with_its_parent
         )
 
-    result = Kills()
+    result = KillResult()
     producing = asyncio.create_task(produce())
     try:
         for number in range(times):
             process = await start()
-            await asyncio.sleep(rng.uniform(*AWAY_S))
+            await asyncio.sleep(rng.uniform(*KILL_DELAY_S))
             with contextlib.suppress(ProcessLookupError):
                 process.kill()
             await process.wait()
             result.kills += 1
-            seen(number + 1)
+            on_kill(number + 1)
         producing.cancel()
-        process = await start("--for", str(DRAINED_S))
+        process = await start("--for", str(FINAL_RECORDING_S))
         await process.wait()
     finally:
         producing.cancel()
         await runner.cleanup()
-    result.told = len(told)
-    result.found = verify(trace)
-    there = {(e.epoch, e.number): e.fields for e in read(trace) if e.epoch}
-    gaps = [(g["of"], g["first"], g["last"]) for g in result.found.gaps]
+    result.emitted = len(told)
+    result.findings = verify(trace)
+    recorded = {(e.epoch, e.number): e.fields for e in read(trace) if e.epoch}
+    gaps = [(g["of"], g["first"], g["last"]) for g in result.findings.gaps]
     for key, fields in told.items():
-        if key not in there:
+        if key not in recorded:
             covered = any(
                 key[0] == of and first <= key[1] and (last is None or key[1] <= last)
                 for of, first, last in gaps
             )
             result.missing += not covered
-        elif there[key] != fields:
+        elif recorded[key] != fields:
             result.differing += 1
     return result
--- a/coveflow/lab/results.py
+++ b/coveflow/lab/results.py
@@ -1,4 +1,4 @@
-"""An experiment's results: a row per class and case as Parquet, and one HTML page."""
+"""Writes an experiment's results: Parquet with a row per class and case, and an HTML page."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
 {% endfor %}</table></body></html>"""
 
 
-def rows_of(case: tuple[str, float, int], found: dict[str, Any]) -> list[dict[str, Any]]:
-    """A row per class of one evening; times in s, latencies in ms, money at the lab's prices."""
+def class_rows(case: tuple[str, float, int], found: dict[str, Any]) -> list[dict[str, Any]]:
+    """A row per job class of one run; times in s, latencies in ms, cost at the lab's prices."""
     tuning, factor, seed = case
     ms = found["submit_ms"]
     return [
@@ -46,7 +46,7 @@
 
 
 def figure(rows: list[dict[str, Any]], key: str) -> go.Figure:
-    """Each class's figure by tuning and factor, a box over the seeds."""
+    """A box plot of one metric for each class, by tuning and factor, over the seeds."""
     shown = go.Figure()
     for name in sorted({row["class"] for row in rows}):
         own = [row for row in rows if row["class"] == name and row[key] is not None]
@@ -64,7 +64,7 @@
 
 
 def write(rows: list[dict[str, Any]], title: str, out: Path) -> list[Path]:
-    """`results.parquet` and `results.html` in the folder; their paths."""
+    """Write `results.parquet` and `results.html` into the folder; returns their paths."""
     out.mkdir(parents=True, exist_ok=True)
     files = [out / "results.parquet", out / "results.html"]
     pq.write_table(pa.Table.from_pylist(rows), files[0], compression="zstd")
--- a/coveflow/lab/scale.py
+++ b/coveflow/lab/scale.py
@@ -1,8 +1,8 @@
-"""What each role spends under a load, on the daemon's own code in virtual time.
+"""Measures each role's resource use under a load, with the daemon's code in virtual time.
 
 A load is held steady while the processor time of each host's event loop, its messages and their
-bytes are counted. What a real process spends beside that is left out: HTTP parsing, the kernel
-and garbage collection. The workers' side is the protocol's: bytes of reports and of their answers.
+bytes are counted. Other costs of a real process are not included: HTTP parsing, the kernel and
+garbage collection. Of the workers, only protocol traffic counts: reports and their answers.
 """
 
 from __future__ import annotations
@@ -28,15 +28,15 @@
 from coveflow.state import keys as sk
 
 NODES = 5
-JOB_TASKS = 50  # tasks of each job that comes and ends
-LONG_TASKS = 500  # tasks of each job that stays
+JOB_TASKS = 50  # tasks of each short job
+LONG_TASKS = 500  # tasks of each long job
 TASK_CPUS = 0.15  # small, so that any load fits onto a few machines
-LONG_S = 3600.0  # s that tasks run which are there to run
-SHORT_S = 5.0  # s that tasks run which are there to start and end
-BEGIN_S = 4.0  # s into the world at which the load begins
-STEADY_S = 16.0  # s from then to the measurement; machines that stay idle go back after 60 s
-RAMP_PER_S = 2000.0  # tasks a second that are submitted until the load is there
-WINDOW_S = 10.0  # s that are measured
+LONG_S = 3600.0  # s that tasks of long jobs run: beyond the measurement
+SHORT_S = 5.0  # s that tasks of short jobs run
+BEGIN_S = 4.0  # s of virtual time at which the load starts
+STEADY_S = 16.0  # s from the full load to the measurement; idle machines are returned after 60 s
+RAMP_PER_S = 2000.0  # tasks submitted a second until the full load is reached
+WINDOW_S = 10.0  # s of measurement
 
 SITE = """(lab (seed 1) (zones {zones}) (controllers {nodes})
  (workers (report-s 2.5) (lease-s 15) (gang-wait-s 15) (gang-peer-s 3) (cancel-s 45))
@@ -49,13 +49,13 @@
  (class short (team t0) (run-s {short} {short} {short})))"""
 
 
-class Unfit(ValueError):
-    """The load does not fit what the harness can play; the text says which limit."""
+class LoadLimitError(ValueError):
+    """The load exceeds what can be run; the text says which limit."""
 
 
 @dataclass(frozen=True)
 class Load:
-    """What is held steady. Rates are a second; `jobs` are polled by their users every 5 s."""
+    """A steady load. Rates are per second; `jobs` are polled by their users every 5 s."""
 
     machines: int = 1000
     running: int = 2000
@@ -66,54 +66,56 @@
     jobs: float = 0.0
 
     def check(self) -> None:
-        """Raises Unfit where the tasks do not fit onto the machines."""
+        """Raises LoadLimitError if the tasks do not fit onto the machines."""
         tasks = self.running + self.starts * SHORT_S
         room = self.machines * int(8 / TASK_CPUS)
         if self.machines < self.zones or self.zones < 1 or self.teams < 1:
-            raise Unfit("a load needs a zone, a team, and a machine in each zone")
+            raise LoadLimitError("a load needs a zone, a team, and a machine in each zone")
         if tasks > room:
-            raise Unfit(f"{tasks:.0f} tasks do not fit onto {self.machines} machines ({room})")
+            raise LoadLimitError(
+                f"{tasks:.0f} tasks do not fit onto {self.machines} machines ({room})"
+            )
 
 
 @dataclass
 class Traffic:
-    """Messages and bytes, a second."""
+    """Messages and bytes per second."""
 
     messages: float = 0.0
     bytes_out: float = 0.0  # of requests
-    bytes_in: float = 0.0  # of their answers
+    bytes_in: float = 0.0  # of the answers
 
 
 @dataclass
 class Reading:
-    """What was measured under a load, and the load as it really was."""
+    """Measurements under a load, and the load as actually reached."""
 
     load: Load
-    machines: int  # that the leader hears
+    machines: int  # that reported to the leader recently
     running: float
     starts: float  # a second
-    cores: dict[str, float]  # processor time a second by role
+    cores: dict[str, float]  # processor time per second by role
     traffic: dict[str, Traffic]  # from role to role
-    book_bytes: int  # of the leader's state, built anew from its records
-    record_bytes: int  # of what the state service keeps of running work, JSON
+    book_bytes: int  # of the leader's in-memory state, rebuilt from its records
+    record_bytes: int  # of the leader's records in the state service, packed
 
 
 @dataclass
-class _Counted:
+class _TrafficCount:
     messages: int = 0
     sent: int = 0
     answered: int = 0
 
 
 class MeasuredWorld(World):
-    """A world that counts messages by who asks whom."""
+    """A world that counts messages by the roles of sender and receiver."""
 
     def __init__(self, *args: Any, **more: Any) -> None:
-        self.counted: defaultdict[str, _Counted] = defaultdict(_Counted)
+        self.counted: defaultdict[str, _TrafficCount] = defaultdict(_TrafficCount)
         super().__init__(*args, **more)
 
     def role(self, place: SimulatedHost | None) -> str:
-        """Of a host: leader, follower, state, cloud, worker or user."""
+        """Role of a host: leader, follower, state, cloud, worker or user."""
         if place is None or place.name.startswith("workers-"):
             return "worker"
         if place.name == FLEET:
@@ -138,14 +140,14 @@
 
 
 class LoadJobs:
-    """Makes a load's jobs, each of the next team."""
+    """Generates a load's jobs, with the teams in turn."""
 
     def __init__(self, teams: int) -> None:
         self.teams = teams
         self.made = 0
 
     def spec(self, workload: str, expected_s: float, **more: Any) -> Spec:
-        """The next job; its tasks are alike."""
+        """The next job, an array of identical tasks."""
         number, self.made = self.made, self.made + 1
         fields: dict[str, Any] = {
             "id": f"j-{number:08d}", "workload": workload, "team": f"t{number % self.teams}",
@@ -159,13 +161,15 @@
 
 @dataclass
 class _Submissions:
-    """Puts a load's jobs into a world, each at the next node."""
+    """Schedules the submission of a load's jobs in a world, at the nodes in turn."""
 
     world: World
     jobs: LoadJobs
 
-    def spread(self, first: float, until: float, per_s: float, *what: Any, **more: Any) -> None:
-        """So many jobs a second between the two times."""
+    def submit_evenly(
+        self, first: float, until: float, per_s: float, *what: Any, **more: Any
+    ) -> None:
+        """Submit `per_s` jobs a second between the two times."""
         for i in range(round((until - first) * per_s)):
             node = f"host-{self.jobs.made % NODES}"
             spec = self.jobs.spec(*what, **more)
@@ -180,7 +184,7 @@
 
 
 def site_text(load: Load) -> str:
-    """A lab's description with the load's machines, all up, and its teams."""
+    """A site description with the load's machines, all running, and its teams."""
     zones = zones_of(load)
     counts = [len(range(i, load.machines, load.zones)) for i in range(load.zones)]
     return SITE.format(
@@ -203,24 +207,24 @@
 
 
 def _submit(world: World, load: Load) -> float:
-    """Put the load's jobs into the world; when it is steady, s."""
+    """Schedule the load's jobs; returns the time in s at which the load is steady."""
     jobs = _Submissions(world, LoadJobs(load.teams))
-    there = (load.running + load.waiting) / RAMP_PER_S
-    steady = BEGIN_S + there + STEADY_S
+    ramp_s = (load.running + load.waiting) / RAMP_PER_S
+    steady = BEGIN_S + ramp_s + STEADY_S
     until = steady + WINDOW_S
     ramp = RAMP_PER_S / LONG_TASKS
     running_s = BEGIN_S + load.running / RAMP_PER_S
     long = {"tasks": LONG_TASKS}
-    jobs.spread(BEGIN_S, running_s, ramp, "long", LONG_S, **long)
-    jobs.spread(running_s, BEGIN_S + there, ramp, "long", LONG_S, team="limited", **long)
-    jobs.spread(BEGIN_S + there, until, load.starts / JOB_TASKS, "short", SHORT_S)
-    # Jobs of one task, whose users ask for them.
-    jobs.spread(BEGIN_S + there, until, load.jobs, "short", SHORT_S, tasks=1)
+    jobs.submit_evenly(BEGIN_S, running_s, ramp, "long", LONG_S, **long)
+    jobs.submit_evenly(running_s, BEGIN_S + ramp_s, ramp, "long", LONG_S, team="limited", **long)
+    jobs.submit_evenly(BEGIN_S + ramp_s, until, load.starts / JOB_TASKS, "short", SHORT_S)
+    # Jobs of one task, polled by their users.
+    jobs.submit_evenly(BEGIN_S + ramp_s, until, load.jobs, "short", SHORT_S, tasks=1)
     return steady
 
 
 def measure(load: Load) -> Reading:
-    """Play the load until it is steady, and read what each role spends. Raises Unfit."""
+    """Run the load until it is steady, then measure each role. Raises LoadLimitError."""
     load.check()
     with _world(load) as world:
         world.polls = load.jobs > 0.0
@@ -228,9 +232,9 @@
         world.run(steady)
         world.counted.clear()
         leader, seen = world.leader(), len(world.attempt_events)
-        spent = _spent(world, steady + WINDOW_S)
+        spent = _processor_time(world, steady + WINDOW_S)
         if not leader or leader != world.leader():
-            raise Unfit("the lead changed while the load was measured")
+            raise LoadLimitError("the leader changed while the load was measured")
         cores: defaultdict[str, list[float]] = defaultdict(list)
         for name, place in world.hosts.items():
             if place.node is not None:
@@ -255,7 +259,7 @@
 
 @contextlib.contextmanager
 def _no_collection() -> Iterator[None]:
-    """No garbage collection: it would look at all hosts at once, in some host's turn."""
+    """Disable garbage collection, whose cost for all hosts would be charged to one host."""
     gc.collect()
     gc.disable()
     try:
@@ -264,17 +268,17 @@
         gc.enable()
 
 
-def _spent(world: World, until: float) -> dict[str, float]:
-    """s of processor time of each host until then.
+def _processor_time(world: World, until: float) -> dict[str, float]:
+    """Processor time in s that each host uses until `until`.
 
-    Turns are timed by the real clock, which is cheap to read, and count as far as this process had
-    a processor meanwhile.
+    Event loop iterations are timed by the wall clock, which is cheap to read, and are scaled by the
+    share of the time in which this process had a processor.
     """
     before = {name: place.loop.spent_s for name, place in world.hosts.items()}
     with _no_collection():
-        real, had = time.perf_counter(), time.process_time()
+        real_before, process_before = time.perf_counter(), time.process_time()
         world.run(until)
-        part = (time.process_time() - had) / (time.perf_counter() - real)
+        part = (time.process_time() - process_before) / (time.perf_counter() - real_before)
     return {
         name: (place.loop.spent_s - before[name]) * part
         for name, place in world.hosts.items()
@@ -282,22 +286,22 @@
     }
 
 
-def _slots(world: World) -> list[tuple[str, Any, int]]:
+def _record_rows(world: World) -> list[tuple[str, Any, int]]:
     rows, _ = world.state.store.list(sk.LEADER_STATE, "", 10**6)
     return [(key, row.value, row.rev) for key, row in rows]
 
 
 def _record_bytes(world: World) -> int:
-    return sum(len(wire.pack(value)) for _, value, _ in _slots(world))
+    return sum(len(wire.pack(value)) for _, value, _ in _record_rows(world))
 
 
 def _book_bytes(world: World, leader: str) -> int:
-    """Of the leader's jobs, machines, placements and records, without the accepted jobs' specs."""
-    owner, rows = world.node(leader).owner, _slots(world)
+    """Memory of the leader's jobs, machines, placements and records, without the jobs' specs."""
+    owner, rows = world.node(leader).owner, _record_rows(world)
     tracemalloc.start()
     state = LeaderState(owner.context)
     restore(state, owner.inbox, rows, world.now)
-    # Machines without work are on no record.
+    # Idle machines have no record.
     idle = [m for name, m in owner.state.machines.items() if name not in state.machines]
     state.machines |= {m.id: copy.copy(m) for m in idle}
     found, _ = tracemalloc.get_traced_memory()
@@ -305,12 +309,12 @@
     return found
 
 
-def as_row(reading: Reading) -> dict[str, Any]:
-    """A reading as plain data."""
+def to_row(reading: Reading) -> dict[str, Any]:
+    """A reading as plain data, for JSON."""
     return asdict(reading)
 
 
-def of_row(row: dict[str, Any]) -> Reading:
-    """The reading of plain data."""
+def from_row(row: dict[str, Any]) -> Reading:
+    """The reading from plain data."""
     traffic = {name: Traffic(**it) for name, it in row["traffic"].items()}
     return replace(Reading(**row), load=Load(**row["load"]), traffic=traffic)
--- a/coveflow/lab/slopes.py
+++ b/coveflow/lab/slopes.py
@@ -1,8 +1,8 @@
-"""Slopes of what each role spends: one variable of the load at a time, fitted by a line.
+"""Fits how each role's resource use grows with one variable of the load at a time.
 
-The base load is the same in every sweep. A line is fitted against the load as it really was, and
-its residuals are told; where the largest is over `STRAIGHT` of the fitted value, the figure does
-not grow with that variable alone, or not along a line.
+The base load is the same in every sweep. A line is fitted against the load as actually reached, and
+its largest residual is reported; where it is over `MAX_RESIDUAL` of the fitted value, the figure
+does not depend on that variable alone, or not linearly.
 """
 
 from __future__ import annotations
@@ -25,13 +25,15 @@
     "zones": (2, 4, 8, 14),
     "jobs": (0, 2, 5, 10),
 }
-STRAIGHT = 0.1  # largest residual, by the fitted value, of what counts as a line
-LEVEL = 1e-9  # part of a figure that a sweep must change it by; less is the fit's own rounding
+MAX_RESIDUAL = 0.1  # largest residual, relative to the fitted value, of a linear figure
+MIN_CHANGE = (
+    1e-9  # least relative change of a figure in a sweep; a smaller one is rounding of the fit
+)
 ROLES = ("leader", "follower", "worker", "state", "cloud")
 
 
 def figures(role: str, reading: Reading) -> dict[str, float]:
-    """What the role spends under the load; processor in cores, the rest a second."""
+    """Figures of the role under the load: processor time in cores, traffic per second."""
     if role == "worker":
         mine = [it for name, it in reading.traffic.items() if name.startswith("worker to")]
         per = max(1, reading.machines)
@@ -49,7 +51,7 @@
         return found | ({"record bytes": reading.record_bytes} if role == "state" else {})
     asked = [it for name, it in reading.traffic.items() if name.endswith(f"to {role}")]
     asks = [it for name, it in reading.traffic.items() if name.startswith(f"{role} to")]
-    # Traffic is of all followers together.
+    # The traffic is that of all followers together.
     nodes = 1 if role == "leader" else NODES - 1
     found = {
         "cores": reading.cores[role],
@@ -61,7 +63,7 @@
 
 
 def value_of(variable: str, reading: Reading) -> float:
-    """The variable as it really was under the load."""
+    """The variable as actually reached under the load."""
     if variable in ("machines", "running", "starts"):
         return float(getattr(reading, variable))
     return float(getattr(reading.load, variable))
@@ -77,19 +79,19 @@
     slope: float
     at_zero: float
     points: tuple[tuple[float, float], ...]  # variable and figure as measured
-    residual: float  # the largest, as part of the fitted value
+    residual: float  # the largest, relative to the fitted value
 
     @property
-    def straight(self) -> bool:
-        return self.residual <= STRAIGHT
+    def is_linear(self) -> bool:
+        return self.residual <= MAX_RESIDUAL
 
 
-def fitted(role: str, figure: str, variable: str, readings: list[Reading]) -> Slope:
+def fit(role: str, figure: str, variable: str, readings: list[Reading]) -> Slope:
     """The line through the readings of one sweep."""
     points = [(value_of(variable, r), figures(role, r)[figure]) for r in readings]
     x, y = (np.array(column) for column in zip(*points, strict=True))
     slope, at_zero = (float(it) for it in np.polyfit(x, y, 1))
-    if abs(slope) * float(np.ptp(x)) < LEVEL * float(np.max(np.abs(y))):
+    if abs(slope) * float(np.ptp(x)) < MIN_CHANGE * float(np.max(np.abs(y))):
         slope, at_zero = 0.0, float(np.mean(y))
     line = at_zero + slope * x
     scale = np.maximum(np.abs(line), 1e-12)
@@ -97,17 +99,17 @@
     return Slope(role, figure, variable, slope, at_zero, tuple(points), residual)
 
 
-def all_fitted(role: str, sweeps: dict[str, list[Reading]]) -> list[Slope]:
-    """Of each figure of the role along each variable that was swept."""
+def fit_all(role: str, sweeps: dict[str, list[Reading]]) -> list[Slope]:
+    """The slopes of all figures of the role along all swept variables."""
     return [
-        fitted(role, figure, variable, readings)
+        fit(role, figure, variable, readings)
         for variable, readings in sweeps.items()
         for figure in figures(role, readings[0])
     ]
 
 
 def loads(variable: str) -> Iterator[Load]:
-    """The base load with this variable's values."""
+    """The base load with each of the variable's values."""
     for value in SWEEPS[variable]:
         kind = type(getattr(BASE, variable))
         yield replace(BASE, **{variable: kind(value)})
@@ -116,7 +118,7 @@
 def sweep(
     variables: list[str], at_once: int, done: Callable[[Reading], None] = lambda reading: None
 ) -> dict[str, list[Reading]]:
-    """Measure each variable's loads, some at once, each in a process of its own."""
+    """Measure each variable's loads, `at_once` in parallel, each in its own process."""
     asked = [(variable, load) for variable in variables for load in loads(variable)]
     found: dict[str, list[Reading]] = {variable: [] for variable in variables}
     with ProcessPoolExecutor(at_once, max_tasks_per_child=1) as pool:
--- a/tests/mixed_builds.py
+++ b/tests/mixed_builds.py
@@ -1,12 +1,12 @@
-"""A rolling upgrade on one state service and one fleet, both builds leading by turns.
+"""A rolling upgrade on one state service and one fleet, with each build leading in turn.
 
     python -m tests.mixed_builds OLD_CHECKOUT [--folder DIR]
 
 Three controllers of the older build take jobs, tasks of the task execution API, cancellations and
 a drain. Two of them are replaced by this build while work runs; the leader is killed until each
-build has led beside the other. Then the last one is replaced, and one goes back to the old build.
-Prints what came of it as JSON; exit status 1 if a rule was broken, a job or task was lost or
-changed its final state, or a build never led beside the other.
+build has led in the mixed cluster. Then the last one is replaced, and one is rolled back to the old
+build. Prints the results as JSON; exit status 1 if a rule was broken, a job or task was lost or
+changed its final state, or a build never led in the mixed cluster.
 """
 
 import argparse
@@ -23,13 +23,13 @@
 from coveflow.cli.lab import lab_file
 from coveflow.lab import faults, workload
 from coveflow.lab.cluster import Cluster
-from coveflow.lab.evening import Evening
+from coveflow.lab.workload_run import WorkloadRun
 from coveflow.taskclient import FINAL, TaskClient
 
 NEW_CHECKOUT = Path(__file__).resolve().parent.parent
 ARRIVALS_S = 60.0  # s in which jobs arrive
-DEADLINE_S = 150.0  # s after which every job must be over
-SETTLE_S = 6.0  # s between two steps: a restart, an election and some work
+DEADLINE_S = 150.0  # s after which every job must be finished
+SETTLE_S = 6.0  # s between two steps: time for a restart, an election and some work
 TASKS = 6  # tasks of the task execution API submitted in each step
 TEAM = "mapping"
 
@@ -50,7 +50,7 @@
         return [sys.executable, str(self.checkouts[self.builds[name]] / "run.py"), *arguments]
 
     def replace(self, name: str, build: str) -> None:
-        """Kill the controller; the lab starts it again as the other build."""
+        """Kill the controller; the lab restarts it as the given build."""
         child = self.children[name]
         self.builds[name] = build
         child.command = self._command(name, child.command[child.command.index("--tuning") :])
@@ -58,10 +58,10 @@
 
 
 class Upgrade:
-    """The steps of the upgrade, and who led in each."""
+    """Runs the steps of the upgrade and records which builds led in each."""
 
-    def __init__(self, cluster: MixedCluster, evening: Evening) -> None:
-        self.cluster, self.evening = cluster, evening
+    def __init__(self, cluster: MixedCluster, workload_run: WorkloadRun) -> None:
+        self.cluster, self.workload_run = cluster, workload_run
         self.led: dict[str, set[str]] = collections.defaultdict(set)  # builds by step
         self.step = "old"
         self.tasks: dict[str, str] = {}  # the step in which each task was submitted
@@ -75,8 +75,8 @@
                 self.led[self.step].add(self.cluster.builds[leader])
             await asyncio.sleep(0.2)
 
-    async def _settle(self, session: aiohttp.ClientSession) -> None:
-        """Some work in this step: tasks submitted, one of them and a job cancelled."""
+    async def _work_and_settle(self, session: aiohttp.ClientSession) -> None:
+        """Submit this step's tasks, cancel one of them and a job, and wait SETTLE_S."""
         client = TaskClient(session, self.cluster.task_urls(), self.cluster.tokens[TEAM])
         executors = [{"image": "any", "command": ["sh", "-c", "sleep 1"]}]
         for number in range(TASKS):
@@ -86,37 +86,37 @@
             if number == 0:
                 await client.cancel(name)
         unfinished = [
-            job for job, course in self.evening.courses.items()
-            if course.accepted is not None and course.finished is None
+            job for job, record in self.workload_run.records.items()
+            if record.accepted is not None and record.finished is None
         ]  # fmt: skip
         if unfinished:
-            await self.evening.cancel(session, unfinished[-1])
+            await self.workload_run.cancel(session, unfinished[-1])
         await asyncio.sleep(SETTLE_S)
 
     async def run(self, session: aiohttp.ClientSession) -> None:
         nodes = list(self.cluster.nodes)
         drain = faults.Fault(0.0, "drain", ("busiest",))
-        await self._settle(session)
-        await faults.carry_out(self.cluster, session, drain)
+        await self._work_and_settle(session)
+        await faults.apply_fault(self.cluster, session, drain)
         self.step = "old beside new"
         for name in nodes[1:]:
             self.cluster.replace(name, "new")
-            await self._settle(session)
-        for chosen in (nodes[:1], nodes[1:], nodes[:1]):  # who leads ends by turns
+            await self._work_and_settle(session)
+        for chosen in (nodes[:1], nodes[1:], nodes[:1]):  # makes each build lead in turn
             for name in chosen:
                 self.cluster.signal_node(name, signal.SIGKILL)
-            await self._settle(session)
+            await self._work_and_settle(session)
         self.step = "new"
         self.cluster.replace(nodes[0], "new")
-        await self._settle(session)
-        await faults.carry_out(self.cluster, session, faults.Fault(0.0, "kill", ("leader",)))
-        await self._settle(session)
+        await self._work_and_settle(session)
+        await faults.apply_fault(self.cluster, session, faults.Fault(0.0, "kill", ("leader",)))
+        await self._work_and_settle(session)
         self.step = "one back to old"
         self.cluster.replace(nodes[1], "old")
-        await self._settle(session)
+        await self._work_and_settle(session)
 
     async def judge_tasks(self, session: aiohttp.ClientSession) -> None:
-        """Every task is known to every node, listed once, and over in the same state."""
+        """Check that every node knows every task, in the same final state, and lists it once."""
         for node, url in enumerate(self.cluster.task_urls()):
             client = TaskClient(session, [url], self.cluster.tokens[TEAM])
             for name in self.tasks:
@@ -131,31 +131,31 @@
 async def play(old: Path, folder: Path) -> dict:
     cluster = MixedCluster(lab_file("demo"), folder, tes="(part 0.8)")
     cluster.use_checkouts(old)
-    evening = Evening(cluster, workload.draw(cluster.site, ARRIVALS_S))
-    upgrade = Upgrade(cluster, evening)
+    workload_run = WorkloadRun(cluster, workload.draw(cluster.site, ARRIVALS_S))
+    upgrade = Upgrade(cluster, workload_run)
     try:
         await cluster.start()
         async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as session:
             watching = asyncio.create_task(upgrade.watch_leaders(session))
-            work = asyncio.create_task(evening.run(DEADLINE_S))
+            work = asyncio.create_task(workload_run.run(DEADLINE_S))
             await upgrade.run(session)
             await work
             await asyncio.wait_for(upgrade.judge_tasks(session), DEADLINE_S)
             watching.cancel()
-            await asyncio.sleep(0.3)  # the workers' last rows
-            await cluster.ask(session, "/lab/state")  # writes them out
+            await asyncio.sleep(0.3)  # for the workers' last history rows
+            await cluster.ask(session, "/lab/state")  # flushes the history
     finally:
         await cluster.stop()
-    states = collections.Counter(course.status for course in evening.courses.values())
+    states = collections.Counter(record.status for record in workload_run.records.values())
     ends = collections.Counter(upgrade.final.values())
     return {
         "jobs": dict(states),
         "tasks": dict(ends),
         "led": {step: sorted(builds) for step, builds in upgrade.led.items()},
         "restarts": cluster.restarts,
-        "broken": [f"{broken.rule}: {broken.text}" for broken in evening.broken()],
+        "broken": [f"{broken.rule}: {broken.text}" for broken in workload_run.broken_rules()],
         "wrong": upgrade.wrong,
-        "unfinished": [x for x, y in evening.courses.items() if y.finished is None],
+        "unfinished": [x for x, y in workload_run.records.items() if y.finished is None],
     }
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -13,7 +13,7 @@
 from coveflow.core.model import Order
 from coveflow.lab import faults, site
 from coveflow.lab.check import Checker
-from coveflow.lab.cluster import LabError, judge
+from coveflow.lab.cluster import LabError, check_folder
 from coveflow.lab.store import ConditionFailed, RevisionCompacted, Store
 from coveflow.lab.truth import GroundTruth
 from coveflow.lab.worker import Worker
@@ -299,10 +299,10 @@
         text = "".join(json.dumps(row) + "\n" for row in rows)
         # A killed process may leave an incomplete last line.
         (tmp_path / f"history-{name}.jsonl").write_text(text + '{"at": 9, "ki')
-    assert judge(tmp_path) == []
+    assert check_folder(tmp_path) == []
     (tmp_path / "history-fleet.jsonl").write_text(
         "".join(json.dumps(row) + "\n" for row in [*fleet, on(4, "n-3")])
     )
-    assert [b.rule for b in judge(tmp_path)] == ["ran_twice"]
+    assert [b.rule for b in check_folder(tmp_path)] == ["ran_twice"]
     with pytest.raises(LabError, match="no whole history"):
-        judge(tmp_path / "nowhere")
+        check_folder(tmp_path / "nowhere")
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""Slopes of what each role spends, the tables made of them, and the scale run."""
+"""Slopes of each role's resource use, the tables built from them, and the scale run."""
 
 import asyncio
 import json
@@ -12,7 +12,7 @@
 
 from coveflow.cli.lab import lab
 from coveflow.lab import capacity, scale, scale_run, slopes
-from coveflow.lab.scale import Load, Reading, Traffic, Unfit
+from coveflow.lab.scale import Load, LoadLimitError, Reading, Traffic
 
 DOCS = Path(__file__).parent.parent / "docs"
 SMALL = Load(machines=20, running=500, starts=50.0)
@@ -31,25 +31,25 @@
 
 
 @given(st.floats(1e-6, 1e-2), st.floats(0.01, 0.5))
-def test_a_line_is_found_with_its_slope(slope, at_zero):
+def test_fit_recovers_slope_of_linear_figure(slope, at_zero):
     rows = [
         reading(load, at_zero + slope * load.machines)
         for load in slopes.loads("machines")
     ]  # fmt: skip
-    found = slopes.fitted("leader", "cores", "machines", rows)
+    found = slopes.fit("leader", "cores", "machines", rows)
     assert found.slope == pytest.approx(slope, rel=1e-6)
     assert found.at_zero == pytest.approx(at_zero, rel=1e-3, abs=1e-6)
-    assert found.straight and found.residual < 1e-6
+    assert found.is_linear and found.residual < 1e-6
 
 
-def test_what_grows_faster_than_a_line_is_told():
+def test_quadratic_figure_is_not_linear():
     rows = [reading(load, 1e-8 * load.machines**2) for load in slopes.loads("machines")]
-    assert not slopes.fitted("leader", "cores", "machines", rows).straight
+    assert not slopes.fit("leader", "cores", "machines", rows).is_linear
 
 
-def test_a_level_figure_has_no_slope():
+def test_constant_figure_has_zero_slope():
     rows = [reading(load, 0.3) for load in slopes.loads("teams")]
-    found = slopes.fitted("leader", "cores", "teams", rows)
+    found = slopes.fit("leader", "cores", "teams", rows)
     assert (found.slope, found.at_zero) == (0.0, pytest.approx(0.3))
 
 
@@ -63,7 +63,7 @@
             assert replace(load, **{variable: getattr(slopes.BASE, variable)}) == slopes.BASE
 
 
-def test_a_worker_figure_is_of_one_worker():
+def test_worker_figures_are_per_worker():
     found = slopes.figures("worker", reading(replace(slopes.BASE, machines=4), 0.1))
     assert found == {"messages": 1.0, "bytes": 110.0}
 
@@ -71,8 +71,8 @@
 # --- predictions ---------------------------------------------------------------------------
 
 
-def along(variable: str, cost: float) -> list[Reading]:
-    """Readings of a leader that spends so much for each of the variable beyond the base."""
+def leader_readings(variable: str, cost: float) -> list[Reading]:
+    """Readings of a leader whose cores grow by `cost` per unit of the variable above the base."""
     base = getattr(slopes.BASE, variable)
     return [
         reading(load, 0.2 + cost * (getattr(load, variable) - base))
@@ -80,9 +80,13 @@
     ]
 
 
-def test_variables_add_up():
-    found = slopes.all_fitted(
-        "leader", {"machines": along("machines", 1e-4), "starts": along("starts", 1e-3)}
+def test_effects_of_variables_are_additive():
+    found = slopes.fit_all(
+        "leader",
+        {
+            "machines": leader_readings("machines", 1e-4),
+            "starts": leader_readings("starts", 1e-3),
+        },
     )
     load = replace(slopes.BASE, machines=5500, starts=1200.0)
     [cores] = [it for it in capacity.predict(found, load) if it.figure == "cores"]
@@ -90,27 +94,27 @@
     assert cores.value == pytest.approx(0.2 + 0.45 + 1.1)
 
 
-def test_tables_take_their_places_and_a_missing_place_is_an_error():
-    begin = capacity.BEGIN.format("loads")
-    page = f"# Title\n\n{begin}\nold\n{capacity.END}\n\nText.\n"
-    made = capacity.written(page, {"loads": "| new |"})
+def test_tables_replace_marked_sections_and_missing_markers_are_an_error():
+    begin = capacity.MARKER_BEGIN.format("loads")
+    page = f"# Title\n\n{begin}\nold\n{capacity.MARKER_END}\n\nText.\n"
+    made = capacity.replace_tables(page, {"loads": "| new |"})
     assert "| new |" in made and "old" not in made and made.endswith("Text.\n")
-    assert capacity.written(made, {"loads": "| new |"}) == made
+    assert capacity.replace_tables(made, {"loads": "| new |"}) == made
     with pytest.raises(KeyError):
-        capacity.written(page, {"points": "| new |"})
+        capacity.replace_tables(page, {"points": "| new |"})
 
 
-def test_the_capacity_page_is_what_its_readings_make():
+def test_capacity_page_matches_its_readings():
     rows = json.loads((DOCS / "data" / "slopes.json").read_text(encoding="utf-8"))["readings"]
-    sweeps = {name: [scale.of_row(row) for row in found] for name, found in rows.items()}
+    sweeps = {name: [scale.from_row(row) for row in found] for name, found in rows.items()}
     page = (DOCS / "CAPACITY.md").read_text(encoding="utf-8")
-    assert capacity.written(page, capacity.tables(sweeps)) == page
+    assert capacity.replace_tables(page, capacity.tables(sweeps)) == page
 
 
 # --- measuring -----------------------------------------------------------------------------
 
 
-def test_a_load_is_held_and_its_roles_are_read():
+def test_steady_load_is_measured_for_each_role():
     found = scale.measure(SMALL)
     assert found.machines == SMALL.machines
     assert found.starts == pytest.approx(SMALL.starts, rel=0.3)
@@ -118,8 +122,8 @@
     assert 0.0 < found.cores["follower"] < found.cores["leader"] < 1.0
     assert found.book_bytes > 0 and found.record_bytes > 0
     per_s = slopes.figures("worker", found)["messages"]
-    assert per_s >= 1 / 2.5 * 0.8  # reports every 2.5 s, a quarter sooner or later
-    assert scale.of_row(json.loads(json.dumps(scale.as_row(found)))) == found
+    assert per_s >= 1 / 2.5 * 0.8  # reports every 2.5 s, with 25% jitter
+    assert scale.from_row(json.loads(json.dumps(scale.to_row(found)))) == found
 
 
 @pytest.mark.parametrize(
@@ -130,8 +134,8 @@
         (Load(teams=0), "a team"),
     ],
 )
-def test_a_load_that_fits_nothing_is_refused(load, limit):
-    with pytest.raises(Unfit, match=limit):
+def test_load_beyond_limits_is_rejected(load, limit):
+    with pytest.raises(LoadLimitError, match=limit):
         scale.measure(load)
 
 
@@ -144,7 +148,7 @@
         (["scale", "run", "--machines", "1000000", "--running", "0"], "open files"),
     ],
 )
-def test_bad_input_names_its_limit_before_anything_starts(command, limit, tmp_path, monkeypatch):
+def test_bad_input_is_rejected_before_anything_starts(command, limit, tmp_path, monkeypatch):
     monkeypatch.chdir(tmp_path)
     found = CliRunner().invoke(lab, command)
     assert found.exit_code != 0
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -1,4 +1,4 @@
-"""Reading logs: what is said of a fault, from a bench's printout and from a lab's folder."""
+"""Fault reports from logs: a bench's output and a lab's folder of log files."""
 
 from coveflow.lab import timeline as tl
 
@@ -27,34 +27,34 @@
 """
 
 
-def test_a_fault_is_told_from_the_first_doubt_to_the_first_placement(tmp_path):
+def test_fault_report_covers_first_doubt_to_first_placement(tmp_path):
     log = tmp_path / "day.log"
     log.write_text(LINES)
-    told = tl.report(tl.read([log]), [(20.0, "node_crash")])
-    (fault,) = told["faults"]
+    report = tl.report(tl.read([log]), [(20.0, "node_crash")])
+    (fault,) = report["faults"]
     assert (fault["doubt"], fault["verdict"], fault["read"]) == (1.0, 1.7, 1.8)
     assert (fault["first_report"], fault["decision"]) == (1.9, 2.5)
-    assert fault["gap"] == 0.7  # from when it is known that one waits
-    # What a deposed leader wished is not counted: it asked the store and did nothing.
-    assert (fault["lost"], fault["returned"], told["returned"]) == (1, 1, 1)
-    assert told["served"]["tally"] == {
+    assert fault["gap"] == 0.7  # from the new leader's count of waiting tasks
+    # A return logged by a deposed leader is not counted: it checks with the store and does none.
+    assert (fault["lost"], fault["returned"], report["returned"]) == (1, 1, 1)
+    assert report["served"]["tally"] == {
         "jobs": 1, "started": 1, "done": 1, "cancelled": 0, "due": 1, "in_time": 1,
         "begin_s": 0.2,
     }  # fmt: skip
 
 
-def test_a_labs_folder_is_read_by_its_files(tmp_path):
+def test_lab_folder_is_read_by_log_file(tmp_path):
     for line in LINES.splitlines():
         if " host-" in line:
             name, rest = line.split()[1], line.split(None, 2)[2]
             with (tmp_path / f"{name}.log").open("a") as log:
                 log.write(rest + "\n")
-    told = tl.report(tl.read([tmp_path]), [])
-    assert [fault["fault"] for fault in told["faults"]] == ["the lead changes"]
-    assert told["faults"][0]["decision"] == 0.8
+    report = tl.report(tl.read([tmp_path]), [])
+    assert [fault["fault"] for fault in report["faults"]] == ["the lead changes"]
+    assert report["faults"][0]["decision"] == 0.8
 
 
-def test_the_largest_of_a_class_have_to_begin_and_half_of_each_group_to_be_served():
+def test_late_start_or_loss_of_largest_jobs_is_underserved():
     rows = [
         tl.Event(float(i), "h", "job taken in",
                  {"job": f"j-{i}", "tasks": str(i), "workload": "tally", "team": "blue"})
@@ -63,23 +63,23 @@
     for i in range(1, 21):
         rows.append(tl.Event(i + 1.0, "h", "tasks placed", {"job": f"j-{i}", "tasks": "1"}))
         rows.append(tl.Event(300.0, "h", "job over", {"job": f"j-{i}", "status": "done"}))
-    assert tl.served(rows)["largest tally"].jobs == 2
-    assert tl.unserved(tl.served(rows), 0.5) == []
-    late = [e for e in rows if not (e.what == "tasks placed" and e.fields["job"] == "j-20")]
-    assert tl.unserved(tl.served(late), 0.5) == ["largest tally"]
-    lost = [e for e in rows if not (e.what == "job over" and e.fields["job"] in ("j-19", "j-20"))]
-    assert tl.unserved(tl.served(lost), 0.5) == ["largest tally"]
+    assert tl.service_shares(rows)["largest tally"].jobs == 2
+    assert tl.underserved(tl.service_shares(rows), 0.5) == []
+    late = [e for e in rows if not (e.name == "tasks placed" and e.fields["job"] == "j-20")]
+    assert tl.underserved(tl.service_shares(late), 0.5) == ["largest tally"]
+    lost = [e for e in rows if not (e.name == "job over" and e.fields["job"] in ("j-19", "j-20"))]
+    assert tl.underserved(tl.service_shares(lost), 0.5) == ["largest tally"]
 
 
-def test_a_job_cancelled_before_it_began_counts_though_nobody_told_its_end():
+def test_job_cancelled_before_start_needs_no_final_log_line():
     taken = {"job": "j-1", "tasks": "1", "workload": "tally", "team": "blue"}
     rows = [
         tl.Event(1.0, "h", "job taken in", taken),
         tl.Event(1.1, "h", "job cancelled", {"job": "j-1", "waiting": "1"}),
         tl.Event(900.0, "h", "view", {}),
     ]
-    shares = tl.served(rows)
+    shares = tl.service_shares(rows)
     assert shares["tally"].cancelled == 1
-    assert tl.unserved(shares, 0.5) == []
-    # Without that word it is one that waited to the end.
-    assert tl.served([rows[0], rows[2]])["tally"].begin_s == 899.0
+    assert tl.underserved(shares, 0.5) == []
+    # Without the cancellation's line the job waits until the end of the log.
+    assert tl.service_shares([rows[0], rows[2]])["tally"].begin_s == 899.0
