--- a/tests/world.py
+++ b/tests/world.py
@@ -1,7 +1,7 @@
-"""The simulator's world made rough: messages late, lost, repeated, held back; checks at once.
+"""The simulated cluster with message faults, and with protocol checks while it runs.
 
-Controllers, planner and records are the daemon's own and the rest are the lab's models, so what
-holds here holds for what the simulator and the lab play.
+Messages are late, lost, duplicated or delayed. Controllers, planner and records are the daemon's
+own and the rest are the lab's models, as in the simulator and the lab.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class Broken(AssertionError):
-    """A rule of the protocol was broken."""
+    """A protocol rule was broken."""
 
 
 def node_settings(name: str, teams: list[dict[str, Any]]) -> s.Settings:
@@ -57,7 +57,7 @@
 
 
 class World(w.World):
-    """`limit` is the team's CPUs; None for no limit. Run times are 2 to 12 s."""
+    """`limit` is the team's CPU limit, None for none. Run times are 2 to 12 s."""
 
     def __init__(
         self, seed: int, machines: int = 4, limit: float | None = 24.0, tuning=None, **settings: Any
@@ -69,11 +69,11 @@
         )
         self.tamper_txn: Callable[[cm.Txn], None] = lambda txn: None
         self.cleared: set[tuple[str, int, tuple[str, int, int]]] = set()
-        kind = flavor(accelerators=2.0, boot_s=3.0)
+        machine_type = flavor(accelerators=2.0, boot_s=3.0)
         zones = ["south", "north"]
         cloud = Cloud(
-            [kind],
-            {(kind.name, zone, False): machines for zone in zones},
+            [machine_type],
+            {(machine_type.name, zone, False): machines for zone in zones},
             lag_s=1.0, seed=seed, boots=BootTimes(quick=0, late=0, never=0),
         )  # fmt: skip
 
@@ -92,21 +92,21 @@
             network=w.Network(latency, latency, lambda: 0.2, lambda: rng.random() < 0.03),
             names=("a", "b", "c"),
             random=rng.random,
-            lean=False,
+            skip_idle_reports=False,
             **settings,
         )
         self.rng = rng
-        self.deaf_workers: dict[str, float] = {}  # nothing comes to them, until when
-        self.copies_until = 0.0  # reports come again, late, to any node
+        self.not_receiving_until: dict[str, float] = {}  # receive nothing, until when
+        self.duplicates_until = 0.0  # until then, late copies of reports go to any node
         for i in range(machines):
-            cloud.start_machines(kind.name, zones[i % 2], False, 1, 0.0)
+            cloud.start_machines(machine_type.name, zones[i % 2], False, 1, 0.0)
         self.elect("a")
         self.every(0.25, self._rules)
         self.run(0.0)
 
     @property
-    def workers(self) -> list[w.Post]:
-        return list(self.posts.values())
+    def workers(self) -> list[w.WorkerLink]:
+        return list(self.worker_links.values())
 
     @property
     def ended(self) -> dict[str, str]:
@@ -123,50 +123,50 @@
             raise Broken(f"{first.rule}: {first.text} at {first.at:.2f}")
 
     def write(self, writes: dict[str, Any], guards: dict[str, int]) -> int | list[str]:
-        # As on the wire: what the store holds shares nothing with who wrote it.
+        # Encoded as on the wire, so that the store shares no objects with the writer.
         return super().write(cbor2.loads(cbor2.dumps(writes)), guards)
 
     def commit(self, name: str, owner: o.Owner, txn: cm.Txn) -> None:
         self.tamper_txn(txn)
         if self.rng.random() < 0.1:
-            copies, writes = dict(txn.guards), dict(txn.writes)
-            # A repeated copy arrives late and must change nothing.
-            self.at(2.0 + self.rng.random() * 5, lambda: self.write(writes, copies))
+            guards, writes = dict(txn.guards), dict(txn.writes)
+            # A duplicate arrives late and must have no effect.
+            self.at(2.0 + self.rng.random() * 5, lambda: self.write(writes, guards))
         super().commit(name, owner, txn)
 
-    def deliver(self, post: w.Post, report: Report, sent: float, target: str) -> None:
-        if self.now < self.copies_until and self.rng.random() < 0.3:
+    def deliver(self, link: w.WorkerLink, report: Report, sent: float, target: str) -> None:
+        if self.now < self.duplicates_until and self.rng.random() < 0.3:
             node = self.rng.choice(self.names)
             late = self.rng.uniform(1.0, 3 * LEASE_S)
-            self.at(late, lambda: super(World, self).deliver(post, report, sent, node))
-        super().deliver(post, report, sent, target)
+            self.at(late, lambda: super(World, self).deliver(link, report, sent, node))
+        super().deliver(link, report, sent, target)
 
-    def _redirected(self, post: w.Post, counter: int, leader: str) -> None:
-        if self.now >= self.deaf_workers.get(post.worker.name, 0.0):
-            super()._redirected(post, counter, leader)
+    def _redirected(self, link: w.WorkerLink, counter: int, leader: str) -> None:
+        if self.now >= self.not_receiving_until.get(link.worker.name, 0.0):
+            super()._redirected(link, counter, leader)
 
-    def reached(self, post: w.Post) -> bool:
-        deaf = self.now < self.deaf_workers.get(post.worker.name, 0.0)
-        return not deaf and super().reached(post)
+    def reached(self, link: w.WorkerLink) -> bool:
+        not_receiving = self.now < self.not_receiving_until.get(link.worker.name, 0.0)
+        return not not_receiving and super().reached(link)
 
-    def reborn(self, post: w.Post, first: bool) -> None:
-        """The machine is back at once, with nothing on it, and counts its reports from one."""
-        worker = post.worker
+    def restart_worker(self, link: w.WorkerLink, first: bool) -> None:
+        """The worker restarts at once without tasks and counts its reports from one."""
+        worker = link.worker
         worker._kill_all(self.now)
         worker.counter, worker.epoch, worker.lease_renewed_at = 0, 0, self.now
         worker.tenure = 1 if first else worker.tenure
-        post.waiting = 0
+        link.waiting = 0
 
     def answered(
-        self, post: w.Post, report: Report, sent: float, epoch: int, orders: list[Order]
+        self, link: w.WorkerLink, report: Report, sent: float, epoch: int, orders: list[Order]
     ) -> None:
-        worker = post.worker
-        if self.now < self.deaf_workers.get(worker.name, 0.0):
+        worker = link.worker
+        if self.now < self.not_receiving_until.get(worker.name, 0.0):
             return
         if (
-            post.waiting == report.counter
+            link.waiting == report.counter
             and worker.tenure == report.tenure
-            and epoch >= worker.epoch  # an older one is dropped
+            and epoch >= worker.epoch  # an answer of an older epoch is dropped
         ):
             for order in orders:
                 key = (worker.name, worker.tenure, (order.job, order.task, order.number))
@@ -174,9 +174,9 @@
                     self.cleared.add(key)
                 elif order.verb == "run" and key in self.cleared:
                     raise Broken(f"run after clear: {key}")
-        super().answered(post, report, sent, epoch, orders)
+        super().answered(link, report, sent, epoch, orders)
 
-    def sick(self, post: w.Post, for_s: float) -> None:
-        """It fails every task that it starts."""
-        post.worker.sick = True
-        self.at(for_s, lambda: setattr(post.worker, "sick", False))
+    def sick(self, link: w.WorkerLink, for_s: float) -> None:
+        """The worker fails every task that it starts, for `for_s` seconds."""
+        link.worker.sick = True
+        self.at(for_s, lambda: setattr(link.worker, "sick", False))
