--- a/coveflow/cli/daemon.py
+++ b/coveflow/cli/daemon.py
@@ -21,11 +21,11 @@
     sys.exit(program.serve(config, tuning))
 
 
-HEAD = re.compile(r"^\s*(?:;[^\n]*\n\s*)*\(\s*([a-z-]+)")  # after comments: the form's first word
+FORM_NAME = re.compile(r"^\s*(?:;[^\n]*\n\s*)*\(\s*([a-z-]+)")  # skips comments before it
 
 
-def check_one(path: Path) -> None:
-    """Read the file as what its first word says it is; the error names what is wrong."""
+def check_file(path: Path) -> None:
+    """Parse the file as the kind that its first form names; the error raised says what is wrong."""
     if path.suffix == ".toml":
         s.load(path)
         return
@@ -33,8 +33,8 @@
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
         raise forms.FormError(f"{path}: {getattr(error, 'strerror', None) or error}") from error
-    found = HEAD.match(text)
-    head = found[1] if found else ""
+    match = FORM_NAME.match(text)
+    head = match[1] if match else ""
     if head == "tokens":
         from coveflow.tes import access
 
@@ -56,14 +56,14 @@
 @click.argument("files", nargs=-1, required=True, type=click.Path(path_type=Path))
 @click.option("--json", "as_json", is_flag=True, help="One JSON object a line.")
 def check(files: tuple[Path, ...], as_json: bool) -> None:
-    """Check files; the first thing wrong in each is named, and the exit status is 2."""
+    """Check files; prints the first error of each, and exits with status 2 if there is one."""
     bad = False
     for path in files:
         error = ""
         try:
-            check_one(path)
-        except (s.SettingsError, forms.FormError) as found:
-            error, bad = str(found), True
+            check_file(path)
+        except (s.SettingsError, forms.FormError) as fault:
+            error, bad = str(fault), True
         if as_json:
             click.echo(json.dumps({"file": str(path), "good": not error, "error": error or None}))
         elif error:
--- a/coveflow/cli/errors.py
+++ b/coveflow/cli/errors.py
@@ -1,5 +1,5 @@
-"""What a user of the toolbox can put right."""
+"""Errors that the user of the command line can correct."""
 
 
 class UserError(Exception):
-    """The text says what is wrong and how to put it right; the exit status is 2."""
+    """The message says what is wrong and how to correct it; the exit status is 2."""
--- a/coveflow/cli/lab.py
+++ b/coveflow/cli/lab.py
@@ -24,8 +24,8 @@
 from rich.text import Text
 
 from coveflow.cli.errors import UserError
-from coveflow.cli.labs import running
 from coveflow.cli.modelcheck import model_check
+from coveflow.cli.running_lab import read_running_lab
 from coveflow.cli.scale import scale
 from coveflow.cli.timeline import suspect, timeline
 from coveflow.cli.worlds import worlds
@@ -36,32 +36,32 @@
 from coveflow.lab.workload_run import WorkloadRun
 
 SITES = Path(sites.__file__).parent / "sites"
-LAB_TRIES = 3  # times a lab is started that could not
-DEMO_S = 26.0  # s in which the demo's jobs arrive
+LAB_START_ATTEMPTS = 3  # attempts to start a lab before it is reported as failed
+DEMO_ARRIVALS_S = 26.0  # s during which the demo's jobs arrive
 DEMO_KILL_S = 13.0  # s into the demo at which its leader is killed
-DEMO_MOST_S = 52.0  # s after which it stops waiting for what is left
+DEMO_MAX_S = 52.0  # s after which the demo stops waiting for unfinished jobs
 
 
 def lab_file(name: str) -> Path:
-    """A file, or one of the sites that come with the package by its name."""
+    """The path of a lab file, given as a path or as the name of a site in the package."""
     path = Path(name)
     if path.is_file():
         return path
-    there = SITES / f"{name}.scm"
-    if there.exists():
-        return there
+    bundled = SITES / f"{name}.scm"
+    if bundled.exists():
+        return bundled
     known = ", ".join(sorted(p.stem for p in SITES.glob("*.scm")))
     raise UserError(f"{name}: no such lab file; give a path or one of: {known}")
 
 
-def driven(work: Coroutine[Any, Any, Any]) -> Any:
-    """Run to the end; Ctrl-C and SIGTERM cancel it, so that it can end its processes."""
+def run_until_signal(work: Coroutine[Any, Any, Any]) -> Any:
+    """Run the coroutine; SIGINT and SIGTERM cancel it, so that it can stop its processes."""
 
     async def run() -> Any:
         task = asyncio.current_task()
         loop = asyncio.get_running_loop()
-        for what in (signal.SIGINT, signal.SIGTERM):
-            loop.add_signal_handler(what, task.cancel)
+        for number in (signal.SIGINT, signal.SIGTERM):
+            loop.add_signal_handler(number, task.cancel)
         return await work
 
     try:
@@ -85,97 +85,110 @@
 
 
 @lab.command()
-@click.option("--folder", type=click.Path(path_type=Path), help="Keep logs and history there.")
+@click.option("--folder", type=click.Path(path_type=Path), help="Where to keep logs and history.")
 @click.option("--seed", type=int, default=7, show_default=True)
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object at the end.")
 def demo(folder: Path | None, seed: int, as_json: bool) -> None:
-    """A small evening in under a minute: the leader is killed in the middle."""
+    """Run a small workload in under a minute; the leader is killed in the middle."""
     with contextlib.ExitStack() as stack:
         if folder is None:
             folder = Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="coveflow-")))
-        good = driven(_demo(folder, seed, as_json))
+        good = run_until_signal(_run_demo(folder, seed, as_json))
     sys.exit(0 if good else 1)
 
 
-async def _demo(folder: Path, seed: int, as_json: bool) -> bool:
+async def _run_demo(folder: Path, seed: int, as_json: bool) -> bool:
     console = Console(stderr=as_json)
     cluster = Cluster(lab_file("demo"), folder)
     cluster.site.seed = seed
     faults = [fl.Fault(DEMO_KILL_S, "kill", ("leader",))]
-    said: list[str] = []
-    evening = WorkloadRun(
-        cluster, workload.draw(cluster.site, DEMO_S), faults, on_message=said.append
+    fault_messages: list[str] = []
+    workload_run = WorkloadRun(
+        cluster,
+        workload.draw(cluster.site, DEMO_ARRIVALS_S),
+        faults,
+        on_message=fault_messages.append,
     )
     machines = sum(cluster.site.up.values())
     console.print(
         f"[bold]coveflow lab demo[/]: {cluster.site.controllers} controllers, {machines} machines,"
-        f" {len(evening.jobs)} jobs; its leader is killed after {DEMO_KILL_S:g} s"
+        f" {len(workload_run.jobs)} jobs; its leader is killed after {DEMO_KILL_S:g} s"
     )
     try:
         await cluster.start()
         with Live(console=console, refresh_per_second=4, transient=True) as live:
-            show = asyncio.create_task(_show(live, cluster, evening, said))
-            await evening.run(DEMO_MOST_S)
+            show = asyncio.create_task(_update_display(live, cluster, workload_run, fault_messages))
+            await workload_run.run(DEMO_MAX_S)
             show.cancel()
-        await asyncio.sleep(0.3)  # the workers' last rows
+        await asyncio.sleep(0.3)  # for the workers' last history rows
         import aiohttp
 
         async with aiohttp.ClientSession() as session:
             state = await cluster.ask(session, "/lab/state")
     finally:
         await cluster.stop()
-    broken = evening.broken_rules()
+    broken = workload_run.broken_rules()
     if as_json:
-        print(json.dumps(report(evening, broken, state, said)))
+        print(json.dumps(demo_report(workload_run, broken, state, fault_messages)))
     else:
-        console.print(jobs_table(evening))
-        for text in said:
+        console.print(jobs_table(workload_run))
+        for text in fault_messages:
             console.print(f"[yellow]fault[/] {text}")
-        _verdict(console, evening, broken, state["paid"])
-    unfinished = [x for x in evening.records.values() if x.status not in ("done", "cancelled")]
+        _print_summary(console, workload_run, broken, state["paid"])
+    unfinished = [
+        record
+        for record in workload_run.records.values()
+        if record.status not in ("done", "cancelled")
+    ]
     return not broken and not unfinished
 
 
-def report(evening: WorkloadRun, broken: list, state: dict[str, Any], said: list[str]) -> dict:
+def demo_report(
+    workload_run: WorkloadRun, broken: list, state: dict[str, Any], fault_messages: list[str]
+) -> dict:
     jobs = [
         {
-            "job": x.spec.id, "class": x.spec.workload, "tasks": x.spec.tasks,
-            "status": x.status, "submitted_s": round(x.due - evening.started_at, 3),
-            "took_s": None if x.took_s is None else round(x.took_s, 3), "late": x.missed_deadline,
+            "job": record.spec.id, "class": record.spec.workload, "tasks": record.spec.tasks,
+            "status": record.status, "submitted_s": round(record.due - workload_run.started_at, 3),
+            "took_s": None if record.took_s is None else round(record.took_s, 3),
+            "late": record.missed_deadline,
         }
-        for x in evening.records.values()
+        for record in workload_run.records.values()
     ]  # fmt: skip
     rules = [{"rule": b.rule, "at": b.at, "text": b.text} for b in broken]
-    return evening.summary() | {
-        "jobs": jobs, "broken": rules, "faults": said, "paid": state["paid"],
+    return workload_run.summary() | {
+        "jobs": jobs, "broken": rules, "faults": fault_messages, "paid": state["paid"],
     }  # fmt: skip
 
 
-def jobs_table(evening: WorkloadRun, newest: int | None = None) -> Table:
+def jobs_table(workload_run: WorkloadRun, newest: int | None = None) -> Table:
     table = Table(box=None, header_style="bold", pad_edge=False)
     columns = ("job", "class", "tasks", "submitted", "state", "done", "took", "deadline")
     for name in columns:
         right = name in ("tasks", "submitted", "done", "took", "deadline")
         table.add_column(name, justify="right" if right else "left")
-    courses = list(evening.records.values())
+    courses = list(workload_run.records.values())
     if newest is not None:
-        courses.sort(key=lambda x: (x.finished is not None, -x.due))
+        courses.sort(key=lambda record: (record.finished is not None, -record.due))
         courses = courses[:newest]
-    for x in sorted(courses, key=lambda x: x.due):
-        deadline = "" if x.spec.deadline_s is None else f"{x.spec.deadline_s:.1f} s"
-        took = "" if x.took_s is None else f"{x.took_s:.1f} s"
-        style = {"done": "green", "running": "cyan", "refused": "red"}.get(x.status, "")
-        if x.missed_deadline:
+    for record in sorted(courses, key=lambda record: record.due):
+        deadline = "" if record.spec.deadline_s is None else f"{record.spec.deadline_s:.1f} s"
+        took = "" if record.took_s is None else f"{record.took_s:.1f} s"
+        style = {"done": "green", "running": "cyan", "refused": "red"}.get(record.status, "")
+        if record.missed_deadline:
             took = f"[red]{took} late[/]"
-        done = x.spec.tasks if x.status == "done" else x.done
+        done = record.spec.tasks if record.status == "done" else record.done
         table.add_row(
-            x.spec.id, x.spec.workload, str(x.spec.tasks), f"{x.due - evening.started_at:.1f} s",
-            f"[{style}]{x.status}[/]" if style else x.status, str(done), took, deadline,
+            record.spec.id, record.spec.workload, str(record.spec.tasks),
+            f"{record.due - workload_run.began:.1f} s",
+            f"[{style}]{record.status}[/]" if style else record.status, str(done), took, deadline,
         )  # fmt: skip
     return table
 
 
-async def _show(live: Live, cluster: Cluster, evening: WorkloadRun, said: list[str]) -> None:
+async def _update_display(
+    live: Live, cluster: Cluster, workload_run: WorkloadRun, fault_messages: list[str]
+) -> None:
     import aiohttp
 
     async with aiohttp.ClientSession() as session:
@@ -183,14 +196,14 @@
             with contextlib.suppress(LabError, aiohttp.ClientError, OSError, TimeoutError):
                 state = await cluster.ask(session, "/lab/state")
                 leader = await cluster.leader(session)
-                live.update(_picture(cluster, evening, said, state, leader))
+                live.update(_render_display(cluster, workload_run, fault_messages, state, leader))
             await asyncio.sleep(0.25)
 
 
-def _picture(
+def _render_display(
     cluster: Cluster,
-    evening: WorkloadRun,
-    said: list[str],
+    workload_run: WorkloadRun,
+    fault_messages: list[str],
     state: dict[str, Any],
     leader: str | None,
 ) -> Group:
@@ -210,26 +223,28 @@
              style="bold green" if name == leader else "")
         for name in cluster.nodes
     )  # fmt: skip
-    now = time.monotonic() - evening.started_at
-    over = sum(x.finished is not None for x in evening.records.values())
-    head = Text(f"{now:5.1f} s   {over} of {len(evening.jobs)} jobs over   ") + nodes
-    if said:
-        head += Text(f"   {said[-1]}", style="yellow")
-    return Group(head, Panel(jobs_table(evening, 14), title="jobs"), Panel(fleet, title="fleet"))
+    now = time.monotonic() - workload_run.started_at
+    over = sum(record.finished is not None for record in workload_run.records.values())
+    head = Text(f"{now:5.1f} s   {over} of {len(workload_run.jobs)} jobs over   ") + nodes
+    if fault_messages:
+        head += Text(f"   {fault_messages[-1]}", style="yellow")
+    return Group(
+        head, Panel(jobs_table(workload_run, 14), title="jobs"), Panel(fleet, title="fleet")
+    )
 
 
-def _verdict(console: Console, evening: WorkloadRun, broken: list, paid: float) -> None:
-    for name, row in evening.summary()["classes"].items():
+def _print_summary(console: Console, workload_run: WorkloadRun, broken: list, paid: float) -> None:
+    for name, row in workload_run.summary()["classes"].items():
         in_time = "" if row["in_time"] is None else f", {row['in_time']:.0%} by the deadline"
         median = "" if row["median_s"] is None else f", median {row['median_s']:.1f} s"
         console.print(f"{name}: {row['done']} of {row['jobs']} jobs done{in_time}{median}")
-    ms = evening.latencies_ms()
+    ms = workload_run.latencies_ms()
     if ms:
         console.print(f"submissions: p50 {ms['p50']:.0f} ms, p99 {ms['p99']:.0f} ms from when due")
     console.print(f"money: {paid:.4f} at the lab's prices")
     for b in broken:
         console.print(
-            f"[bold red]broken rule[/] {b.rule} at {b.at - evening.started_at:.1f} s: {b.text}"
+            f"[bold red]broken rule[/] {b.rule} at {b.at - workload_run.began:.1f} s: {b.text}"
         )
     if not broken:
         console.print("[bold green]no rule was broken[/]")
@@ -238,21 +253,27 @@
 @lab.command()
 @click.argument("site", default="evening")
 @click.option("--for", "for_s", default=120.0, show_default=True, help="Seconds of arrivals.")
-@click.option("--until", "until_s", type=float, help="Seconds at which waiting for jobs ends.")
-@click.option("--factor", default=1.0, show_default=True, help="Of the classes' rates.")
-@click.option("--seed", type=int, help="Instead of the site's.")
+@click.option(
+    "--until", "until_s", type=float, help="Seconds after which jobs are no longer waited for."
+)
+@click.option("--factor", default=1.0, show_default=True, help="Multiplies the classes' rates.")
+@click.option("--seed", type=int, help="Used instead of the site's seed.")
 @click.option("--faults", "script", type=click.Path(path_type=Path), help="A fault script.")
-@click.option("--tuning", type=click.Path(path_type=Path, exists=True), help="For controllers.")
-@click.option("--folder", type=click.Path(path_type=Path), help="Logs, history and trace.")
+@click.option(
+    "--tuning", type=click.Path(path_type=Path, exists=True), help="Tuning for the controllers."
+)
+@click.option(
+    "--folder", type=click.Path(path_type=Path), help="Where to keep logs, history and trace."
+)
 @click.option("--trace", "traced", is_flag=True, help="Record a trace into FOLDER/trace.")
 @click.option("--json", "as_json", is_flag=True)
 def load(
     site: str, for_s: float, until_s: float | None, factor: float, seed: int | None,
     script: Path | None, tuning: Path | None, folder: Path | None, traced: bool, as_json: bool,
 ) -> None:  # fmt: skip
-    """Open-loop submissions on a lab of its own: latencies, finish times, rules."""
+    """Run open-loop submissions on a new lab: latencies, finish times, broken rules."""
     if traced and folder is None:
-        raise UserError("--trace needs --folder, where the trace is kept")
+        raise UserError("--trace needs --folder, in which the trace is kept")
     with contextlib.ExitStack() as stack:
         if folder is None:
             folder = Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="coveflow-")))
@@ -263,12 +284,12 @@
             fl.load(script) if script else [], tuning, traced,
         )  # fmt: skip
         console = Console(stderr=True)
-        found = driven(run_case(case, folder, on_message=console.print))
-    click.echo(json.dumps(found) if as_json else _loaded(found))
+        found = run_until_signal(run_case(case, folder, on_message=console.print))
+    click.echo(json.dumps(found) if as_json else _format_load(found))
     sys.exit(1 if found["broken"] else 0)
 
 
-def _loaded(found: dict[str, Any]) -> str:
+def _format_load(found: dict[str, Any]) -> str:
     lines = []
     for name, row in found["classes"].items():
         in_time = "" if row["in_time"] is None else f", {row['in_time']:.0%} by the deadline"
@@ -287,7 +308,7 @@
 @click.argument("file", type=click.Path(path_type=Path))
 @click.option("--out", type=click.Path(path_type=Path), required=True, help="Folder of results.")
 def experiment(file: Path, out: Path) -> None:
-    """A matrix of settings, rates and seeds, one evening each: Parquet and an HTML page."""
+    """Run a matrix of settings, rates and seeds; writes Parquet and an HTML page."""
     from rich.progress import Progress
 
     from coveflow.lab import experiment as ex
@@ -312,7 +333,7 @@
             played = ex.Case(
                 site, plan.for_s, plan.until_s, factor, seed, list(plan.faults), tuning
             )
-            found = driven(ex.run_case(played, folder))
+            found = run_until_signal(ex.run_case(played, folder))
             broken += len(found["broken"])
             rows += results.class_rows(case, found)
             progress.advance(bar)
@@ -325,7 +346,7 @@
 @lab.command()
 @click.argument("folder", type=click.Path(path_type=Path))
 def check(folder: Path) -> None:
-    """Read the history that a lab left in FOLDER and name any broken rule of the protocol."""
+    """Check the history that a lab left in FOLDER; prints each broken rule of the protocol."""
     from coveflow.lab.cluster import check_folder
 
     try:
@@ -343,7 +364,7 @@
 @click.option("--seed", default=1, show_default=True)
 @click.option("--folder", type=click.Path(path_type=Path))
 def record_kills(times: int, seed: int, folder: Path | None) -> None:
-    """Kill a trace's recorder at random moments, then check the trace; some minutes."""
+    """Kill a trace's recorder at random moments, then check the trace; takes some minutes."""
     from rich.progress import Progress
 
     from coveflow.lab.recorder_kills import kill_recorder
@@ -353,7 +374,7 @@
             folder = Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="coveflow-")))
         progress = stack.enter_context(Progress(console=Console(stderr=True)))
         bar = progress.add_task("kills", total=times)
-        found = driven(
+        found = run_until_signal(
             kill_recorder(folder, times, seed, lambda n: progress.update(bar, completed=n))
         )
     click.echo(
@@ -366,17 +387,17 @@
 
 @lab.command("tasks")
 @click.argument("site", default="demo")
-@click.option("--seeds", default=1, show_default=True, help="Labs, each with faults of its own.")
+@click.option("--seeds", default=1, show_default=True, help="Labs, each with its own faults.")
 @click.option("--first", default=1, show_default=True, help="The first seed.")
-@click.option("--tasks", "count", default=20, show_default=True, help="Tasks a lab.")
+@click.option("--tasks", "count", default=20, show_default=True, help="Tasks per lab.")
 @click.option("--at-once", default=4, show_default=True, help="Labs that run at the same time.")
-@click.option("--folder", type=click.Path(path_type=Path), help="Logs and histories.")
-@click.option("--json", "as_json", is_flag=True, help="One JSON object a seed.")
+@click.option("--folder", type=click.Path(path_type=Path), help="Where to keep logs and histories.")
+@click.option("--json", "as_json", is_flag=True, help="One JSON object per seed.")
 def tasks_history(
     site: str, seeds: int, first: int, count: int, at_once: int, folder: Path | None,
     as_json: bool,
 ) -> None:  # fmt: skip
-    """Tasks of the task execution API in trouble: one final state each, the same from all nodes."""
+    """Check the task execution API under faults: one final state per task, on all nodes."""
     from dataclasses import asdict
 
     from rich.progress import Progress
@@ -388,36 +409,36 @@
             folder = Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="coveflow-")))
         progress = stack.enter_context(Progress(console=Console(stderr=True)))
         bar = progress.add_task("seeds", total=seeds)
-        free = asyncio.Semaphore(at_once)
+        slots = asyncio.Semaphore(at_once)
 
-        async def one(seed: int) -> tasks.HistoryResult:
-            async with free:
-                for at in range(LAB_TRIES):
-                    where = folder / f"seed-{seed}-{at}"
+        async def run_seed(seed: int) -> tasks.HistoryResult:
+            async with slots:
+                for attempt in range(LAB_START_ATTEMPTS):
+                    lab_folder = folder / f"seed-{seed}-{attempt}"
                     try:
-                        found = await tasks.run_history(lab_file(site), where, seed, count)
+                        found = await tasks.run_history(lab_file(site), lab_folder, seed, count)
                         break
                     except LabError as error:
-                        # Labs that start at the same moment may take each other's ports.
+                        # Labs that start at the same time may take each other's ports.
                         found = tasks.HistoryResult(seed, wrong=[f"the lab did not start: {error}"])
                 progress.advance(bar)
                 return found
 
-        async def everything() -> list[tasks.HistoryResult]:
-            return await asyncio.gather(*(one(seed) for seed in range(first, first + seeds)))
+        async def run_all() -> list[tasks.HistoryResult]:
+            return await asyncio.gather(*(run_seed(seed) for seed in range(first, first + seeds)))
 
-        found = driven(everything())
+        found = run_until_signal(run_all())
     if as_json:
         for row in found:
             click.echo(json.dumps(asdict(row)))
     for row in found:
         for text in row.wrong:
             click.echo(f"seed {row.seed}: {text}", err=as_json)
-    ends = {state: sum(r.ends.get(state, 0) for r in found) for r in found for state in r.ends}
+    states = {state: sum(r.ends.get(state, 0) for r in found) for r in found for state in r.ends}
     click.echo(
         f"{seeds} seeds, {sum(len(r.faults) for r in found)} faults,"
         f" {sum(r.tasks for r in found)} tasks, {sum(r.answers for r in found)} answers;"
-        f" ends {ends}; {sum(len(r.wrong) for r in found)} wrong",
+        f" ends {states}; {sum(len(r.wrong) for r in found)} wrong",
         err=as_json,
     )
     sys.exit(1 if any(r.wrong for r in found) else 0)
@@ -426,9 +447,9 @@
 @lab.command("task-load")
 @click.argument("site", default="demo")
 @click.option("--known", "counts", multiple=True, type=int, default=(1000, 20000, 200000),
-              show_default=True, help="Tasks that the service knows already.")  # fmt: skip
+              show_default=True, help="Tasks that the service already has.")  # fmt: skip
 @click.option("--for", "for_s", default=20.0, show_default=True)
-@click.option("--submit", default=5.0, show_default=True, help="Submissions a second.")
+@click.option("--submit", default=5.0, show_default=True, help="Submissions per second.")
 @click.option("--get", default=20.0, show_default=True)
 @click.option("--list", "listing", default=10.0, show_default=True)
 @click.option("--folder", type=click.Path(path_type=Path))
@@ -436,7 +457,7 @@
     site: str, counts: tuple[int, ...], for_s: float, submit: float, get: float, listing: float,
     folder: Path | None,
 ) -> None:  # fmt: skip
-    """Latencies of the task execution API, by how many tasks are known; one JSON object each."""
+    """Measure the task execution API's latencies by number of known tasks, as JSON objects."""
     from coveflow.lab import tasks
 
     rates = {"submit": submit, "get": get, "list": listing}
@@ -444,61 +465,67 @@
         if folder is None:
             folder = Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="coveflow-")))
         for known in counts:
-            where = folder / f"known-{known}"
+            lab_folder = folder / f"known-{known}"
             click.echo(json.dumps(
-                driven(tasks.measure_latencies(lab_file(site), where, known, for_s, rates))
+                run_until_signal(tasks.measure_latencies(lab_file(site), lab_folder, known, for_s, rates))
             ))  # fmt: skip
 
 
 @lab.command("task-flood")
 @click.argument("site", default="demo")
 @click.option("--for", "for_s", default=30.0, show_default=True)
-@click.option("--per-s", default=60.0, show_default=True, help="Tasks a second in the flood.")
+@click.option("--per-s", default=60.0, show_default=True, help="Tasks per second in the flood.")
 @click.option("--folder", type=click.Path(path_type=Path))
 def task_flood(site: str, for_s: float, per_s: float, folder: Path | None) -> None:
-    """Native submissions' latencies without and with a flood of tasks; one JSON object each."""
+    """Measure native submissions' latencies without and with a flood of tasks, as JSON."""
     from coveflow.lab import tasks
 
     with contextlib.ExitStack() as stack:
         if folder is None:
             folder = Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="coveflow-")))
         for rate in (0.0, per_s):
-            where = folder / f"flood-{rate:g}"
-            click.echo(json.dumps(driven(tasks.measure_flood(lab_file(site), where, for_s, rate))))
+            lab_folder = folder / f"flood-{rate:g}"
+            click.echo(
+                json.dumps(
+                    run_until_signal(tasks.measure_flood(lab_file(site), lab_folder, for_s, rate))
+                )
+            )
 
 
-# --- a lab that stays ------------------------------------------------------------------
+# --- labs that stay up -----------------------------------------------------------------
 
 
 @lab.command()
 @click.argument("site", default="demo")
 @click.option("--folder", type=click.Path(path_type=Path), default="lab-run", show_default=True)
-@click.option("--tuning", type=click.Path(path_type=Path, exists=True), help="For controllers.")
-@click.option("--detach", is_flag=True, help="Return when it is up; `lab down` ends it.")
-@click.option("--tes", is_flag=True, help="Serve the task execution API, with a token a team.")
+@click.option(
+    "--tuning", type=click.Path(path_type=Path, exists=True), help="Tuning for the controllers."
+)
+@click.option("--detach", is_flag=True, help="Return when the lab is up; `lab down` stops it.")
+@click.option("--tes", is_flag=True, help="Serve the task execution API, with one token per team.")
 def up(site: str, folder: Path, tuning: Path | None, detach: bool, tes: bool) -> None:
     """Start a lab and leave it running; prints its settings file."""
     path = lab_file(site)
     if detach:
-        _detached(path, folder, tuning, tes)
+        _start_detached(path, folder, tuning, tes)
         return
-    driven(_up(path, folder, tuning, tes))
+    run_until_signal(_run_lab(path, folder, tuning, tes))
 
 
-async def _up(path: Path, folder: Path, tuning: Path | None, tes: bool) -> None:
+async def _run_lab(path: Path, folder: Path, tuning: Path | None, tes: bool) -> None:
     cluster = Cluster(path, folder, tuning, tes="" if tes else None)
     try:
         await cluster.start()
-        _where(folder)
+        _print_addresses(folder)
         await asyncio.Event().wait()
     finally:
         await cluster.stop()
         (folder / "lab.json").unlink(missing_ok=True)
 
 
-def _where(folder: Path) -> None:
+def _print_addresses(folder: Path) -> None:
     click.echo(f"settings: {folder / 'host-0.toml'}")
-    found = running(folder)
+    found = read_running_lab(folder)
     click.echo(f"users:    {' '.join(found['nodes'])}")
     if found.get("tes"):
         click.echo(f"tasks:    {' '.join(found['tes'])}")
@@ -508,7 +535,7 @@
     click.echo(f"end:      coveflow lab down --folder {folder}")
 
 
-def _detached(path: Path, folder: Path, tuning: Path | None, tes: bool) -> None:
+def _start_detached(path: Path, folder: Path, tuning: Path | None, tes: bool) -> None:
     folder.mkdir(parents=True, exist_ok=True)
     (folder / "lab.json").unlink(missing_ok=True)
     command = [
@@ -529,22 +556,22 @@
         process = subprocess.Popen(
             command, stdin=subprocess.DEVNULL, stdout=log, stderr=log, start_new_session=True
         )
-    ends = time.monotonic() + 30
+    deadline = time.monotonic() + 30
     while not (folder / "lab.json").exists():
-        if process.poll() is not None or time.monotonic() > ends:
-            raise UserError(f"the lab did not come up; see {folder / 'up.log'}")
+        if process.poll() is not None or time.monotonic() > deadline:
+            raise UserError(f"the lab did not start; see {folder / 'up.log'}")
         time.sleep(0.1)
-    _where(folder)
+    _print_addresses(folder)
 
 
 @lab.command()
 @click.option("--folder", type=click.Path(path_type=Path), default="lab-run", show_default=True)
 def down(folder: Path) -> None:
-    """End a lab that `lab up` left running."""
-    pid = running(folder)["pid"]
+    """Stop a lab that `lab up` left running."""
+    pid = read_running_lab(folder)["pid"]
     with contextlib.suppress(ProcessLookupError):
         os.kill(pid, signal.SIGTERM)
-    ends = time.monotonic() + 15
-    while (folder / "lab.json").exists() and time.monotonic() < ends:
+    deadline = time.monotonic() + 15
+    while (folder / "lab.json").exists() and time.monotonic() < deadline:
         time.sleep(0.1)
     click.echo("ended")
--- a/coveflow/cli/modelcheck.py
+++ b/coveflow/cli/modelcheck.py
@@ -1,4 +1,4 @@
-"""`coveflow lab model-check`: all orders of a few things, on the daemon's own code."""
+"""`coveflow lab model-check`: searches all orders of a few events, on the daemon's own code."""
 
 from __future__ import annotations
 
@@ -14,18 +14,22 @@
 
 
 @click.command("model-check")
-@click.option("--depth", type=int, default=4, show_default=True, help="Steps gone into wholly.")
+@click.option(
+    "--depth", type=int, default=4, show_default=True, help="Steps searched exhaustively."
+)
 @click.option("--nodes", type=click.IntRange(2, 3), default=2, show_default=True)
-@click.option("--walks", type=int, default=2000, show_default=True, help="Random long paths.")
+@click.option("--walks", type=int, default=2000, show_default=True, help="Long random paths.")
 @click.option("--seed", type=int, default=0, show_default=True)
-@click.option("--planted/--not-planted", default=True, help="Whether planted bugs are looked for.")
+@click.option(
+    "--planted/--not-planted", default=True, help="Whether to check that planted bugs are found."
+)
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 def model_check(
     depth: int, nodes: int, walks: int, seed: int, planted: bool, as_json: bool
 ) -> None:
-    """Do the rules hold in every order of calls, reports, ends and doubts?
+    """Check the rules in every order of calls, reports, ends and suspicions.
 
-    Exit status 1 where a rule breaks on the real code, or a planted bug is not found.
+    Exit status 1 if a rule is broken on the real code, or a planted bug is not found.
     """
     from coveflow.lab import modelcheck as mc
     from coveflow.lab.planted import PLANTED, PLANTED_CANCELLED
@@ -33,25 +37,29 @@
     logging.disable(logging.CRITICAL)
     rows: list[dict[str, Any]] = []
 
-    def add(what: str, began: float, found: mc.SearchResult, bug: bool) -> None:
-        row = asdict(found) | {"what": what, "seconds": time.monotonic() - began, "planted": bug}
-        rows.append(row | {"good": bool(found.broken) is bug})
+    def add_row(what: str, started_at: float, result: mc.SearchResult, is_planted: bool) -> None:
+        row = asdict(result) | {
+            "what": what,
+            "seconds": time.monotonic() - started_at,
+            "planted": is_planted,
+        }
+        rows.append(row | {"good": bool(result.broken) is is_planted})
 
     for name, script in mc.SCRIPTS.items():
-        began = time.monotonic()
-        add(f"all orders, {name}", began, mc.search(script, depth, nodes), False)
-    began = time.monotonic()
-    add("random paths", began, mc.walks(walks, seed=seed, nodes=nodes), False)
-    began = time.monotonic()
+        started_at = time.monotonic()
+        add_row(f"all orders, {name}", started_at, mc.search(script, depth, nodes), False)
+    started_at = time.monotonic()
+    add_row("random paths", started_at, mc.walks(walks, seed=seed, nodes=nodes), False)
+    started_at = time.monotonic()
     paths = mc.walks(walks, seed=seed, nodes=nodes, cancelled=True)
-    add("random paths with a cancellation", began, paths, False)
-    plants = [(PLANTED, False), (PLANTED_CANCELLED, True)] if planted else []
-    for bugs, cancelled in plants:
+    add_row("random paths with a cancellation", started_at, paths, False)
+    bug_sets = [(PLANTED, False), (PLANTED_CANCELLED, True)] if planted else []
+    for bugs, cancelled in bug_sets:
         for name, plant in bugs.items():
-            began = time.monotonic()
+            started_at = time.monotonic()
             with plant():
-                found = mc.walks(max(walks, 4000), seed=seed, cancelled=cancelled)
-            add(f"planted: {name}", began, found, True)
+                result = mc.walks(max(walks, 4000), seed=seed, cancelled=cancelled)
+            add_row(f"planted: {name}", started_at, result, True)
     good = all(row["good"] for row in rows)
     if as_json:
         print(json.dumps({"good": good, "rows": rows}))
--- a/coveflow/cli/labs.py
+++ b/coveflow/cli/running_lab.py
@@ -1,4 +1,4 @@
-"""Where a running lab is: what `lab up` wrote into its folder."""
+"""The description of a running lab, as `lab up` writes it into the lab's folder."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from coveflow.cli.errors import UserError
 
 
-def running(folder: Path) -> dict[str, Any]:
-    """`nodes` (users' addresses), `lab` (port of its own interface) and `pid`."""
+def read_running_lab(folder: Path) -> dict[str, Any]:
+    """Read `nodes` (addresses for users), `lab` (port of the lab's own interface) and `pid`."""
     try:
         return json.loads((folder / "lab.json").read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
--- a/coveflow/cli/tes.py
+++ b/coveflow/cli/tes.py
@@ -1,4 +1,4 @@
-"""`coveflow tes`: a user's and an operator's side of the task execution API."""
+"""`coveflow tes`: client commands for the task execution API, and the making of tokens."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from rich.table import Table
 
 from coveflow.cli.errors import UserError
-from coveflow.cli.labs import running
+from coveflow.cli.running_lab import read_running_lab
 from coveflow.client import RequestRejected, RetriesExhausted
 from coveflow.taskclient import TaskClient
 
@@ -28,10 +28,12 @@
     """Tasks by the GA4GH task execution API."""
 
 
-def where(command: Callable[..., Any]) -> Callable[..., Any]:
+def task_api_options(command: Callable[..., Any]) -> Callable[..., Any]:
     for option in (
-        click.option("--json", "as_json", is_flag=True, help="For programs."),
-        click.option("--team", help="With --lab: whose token; the first team's if not given."),
+        click.option("--json", "as_json", is_flag=True, help="Print JSON."),
+        click.option(
+            "--team", help="With --lab: use this team's token; default: the first team's."
+        ),
         click.option("--lab", type=click.Path(path_type=Path), help="Folder of a running lab."),
         click.option("--token", envvar="COVEFLOW_TOKEN", help="NAME.SECRET."),
         click.option("--at", envvar="COVEFLOW_TES", help="Nodes, http://HOST:PORT[,...]."),
@@ -40,15 +42,17 @@
     return command
 
 
-def ask(
+def run_task_client(
     at: str | None, token: str | None, lab: Path | None, team: str | None,
     work: Callable[[TaskClient], Awaitable[Any]],
 ) -> Any:  # fmt: skip
-    """What `work` gets from the nodes; what they refuse is a user's error."""
+    """Run `work` with a client and return its result; a rejected request raises UserError."""
     if lab is not None:
-        found = running(lab)
+        found = read_running_lab(lab)
         if not found.get("tes"):
-            raise UserError(f"the lab in {lab} serves no tasks; start it with: lab up --tes")
+            raise UserError(
+                f"the lab in {lab} does not serve the task API; start it with: lab up --tes"
+            )
         tokens = found["tokens"]
         if team is not None and team not in tokens:
             raise UserError(f"--team {team}: the lab has tokens for {', '.join(tokens)}")
@@ -56,7 +60,7 @@
     elif at and token:
         urls = [part.strip().rstrip("/") for part in at.split(",")]
     else:
-        raise UserError("where? give --at URL and --token (or COVEFLOW_TES and COVEFLOW_TOKEN)")
+        raise UserError("no node given: use --at and --token (or COVEFLOW_TES and COVEFLOW_TOKEN)")
 
     async def run() -> Any:
         async with aiohttp.ClientSession() as session:
@@ -70,9 +74,9 @@
 
 @tes.command()
 @click.argument("file", type=click.File("rb"))
-@click.option("--key", help="Idempotency-Key; a fresh one, if not given.")
-@click.option("--wait", is_flag=True, help="Until it is over; status 1 unless COMPLETE.")
-@where
+@click.option("--key", help="Idempotency-Key; default: a random one.")
+@click.option("--wait", is_flag=True, help="Wait until the task is over; status 1 unless COMPLETE.")
+@task_api_options
 def submit(
     file: Any, key: str | None, wait: bool, at: str | None, token: str | None, lab: Path | None,
     team: str | None, as_json: bool,
@@ -88,7 +92,7 @@
         name = await client.submit(task, key)
         return name, await client.wait(name) if wait else ""
 
-    name, state = ask(at, token, lab, team, work)
+    name, state = run_task_client(at, token, lab, team, work)
     if as_json:
         click.echo(json.dumps({"id": name} | ({"state": state} if state else {})))
     else:
@@ -100,48 +104,48 @@
 @tes.command()
 @click.argument("task")
 @click.option("--view", type=click.Choice(["MINIMAL", "BASIC", "FULL"]), default="FULL")
-@where
+@task_api_options
 def show(
     task: str, view: str, at: str | None, token: str | None, lab: Path | None, team: str | None,
     as_json: bool,
 ) -> None:  # fmt: skip
     """Show a task, as JSON."""
-    found = ask(at, token, lab, team, lambda client: client.get(task, view))
+    found = run_task_client(at, token, lab, team, lambda client: client.get(task, view))
     click.echo(json.dumps(found, indent=None if as_json else 2))
 
 
 @tes.command()
 @click.argument("task")
-@where
+@task_api_options
 def wait(
     task: str, at: str | None, token: str | None, lab: Path | None, team: str | None,
     as_json: bool,
 ) -> None:  # fmt: skip
     """Wait until a task is over; status 1 unless COMPLETE."""
-    state = ask(at, token, lab, team, lambda client: client.wait(task))
+    state = run_task_client(at, token, lab, team, lambda client: client.wait(task))
     click.echo(json.dumps({"id": task, "state": state}) if as_json else state)
     sys.exit(0 if state == "COMPLETE" else 1)
 
 
 @tes.command()
 @click.argument("task")
-@where
+@task_api_options
 def cancel(
     task: str, at: str | None, token: str | None, lab: Path | None, team: str | None,
     as_json: bool,
 ) -> None:  # fmt: skip
     """Cancel a task; one that is over stays as it is."""
-    ask(at, token, lab, team, lambda client: client.cancel(task))
-    state = ask(at, token, lab, team, lambda client: client.get(task))["state"]
+    run_task_client(at, token, lab, team, lambda client: client.cancel(task))
+    state = run_task_client(at, token, lab, team, lambda client: client.get(task))["state"]
     click.echo(json.dumps({"id": task, "state": state}) if as_json else f"{task} {state}")
 
 
 @tes.command("list")
 @click.option("--state", help="Only tasks in this state.")
-@click.option("--prefix", default="", help="Only tasks whose name begins so.")
-@click.option("--tag", "tags", multiple=True, help="KEY or KEY=VALUE; more than once for all.")
+@click.option("--prefix", default="", help="Only tasks whose name has this prefix.")
+@click.option("--tag", "tags", multiple=True, help="KEY or KEY=VALUE; if repeated, all must match.")
 @click.option("--most", default=50, show_default=True, help="Tasks shown.")
-@where
+@task_api_options
 def listing(
     state: str | None, prefix: str, tags: tuple[str, ...], most: int, at: str | None,
     token: str | None, lab: Path | None, team: str | None, as_json: bool,
@@ -162,7 +166,7 @@
                 break
         return found
 
-    rows = ask(at, token, lab, team, work)
+    rows = run_task_client(at, token, lab, team, work)
     if as_json:
         for row in rows:
             click.echo(json.dumps(row))
@@ -180,20 +184,24 @@
 
 @tes.command()
 @click.argument("name")
-@click.option("--team", default="", help="Whose tasks; not needed to read all alone.")
+@click.option(
+    "--team", default="", help="The team whose tasks it covers; not needed for read-all alone."
+)
 @click.option(
     "--right", "rights", multiple=True, default=("submit", "read", "cancel"), show_default=True,
-    type=click.Choice(["submit", "read", "read-all", "cancel"]), help="More than once for more.",
+    type=click.Choice(["submit", "read", "read-all", "cancel"]), help="May be repeated.",
 )  # fmt: skip
 @click.option("--json", "as_json", is_flag=True)
 def token(name: str, team: str, rights: tuple[str, ...], as_json: bool) -> None:
-    """Make a token for the client NAME: once its secret, and its entry for the tokens' file."""
+    """Make a token for the client NAME; prints its secret and its entry for the tokens file."""
     try:
         from coveflow.tes import access
     except ModuleNotFoundError as error:
-        raise UserError("tokens need it: python -m pip install 'coveflow[tes]'") from error
+        raise UserError(
+            "tokens need an extra package: python -m pip install 'coveflow[tes]'"
+        ) from error
     if not access.TOKEN_NAME.fullmatch(name):
-        raise UserError(f"{name!r} is no name: letters, digits, - and _ up to 64")
+        raise UserError(f"{name!r} is not a valid name: use up to 64 letters, digits, - and _")
     if not team and set(rights) - {"read-all"}:
         raise UserError("these rights need --team")
     secret, hashed = access.make_token(name)
--- a/coveflow/cli/timeline.py
+++ b/coveflow/cli/timeline.py
@@ -1,4 +1,4 @@
-"""`coveflow lab timeline` and `suspect`: what logs say of faults, and how they are noticed."""
+"""`coveflow lab timeline` and `suspect`: fault detection in logs, and a detector comparison."""
 
 from __future__ import annotations
 
@@ -20,16 +20,21 @@
 
 @click.command()
 @click.argument("logs", nargs=-1, required=True, type=click.Path(exists=True, path_type=Path))
-@click.option("--day", metavar="FILE:NAME", help="The site file and day whose faults it had.")
-@click.option("--least", type=float, default=0.0, help="Fail where a class or team is served less.")
+@click.option(
+    "--day", metavar="FILE:NAME", help="The site file and the day in it whose faults were injected."
+)
+@click.option(
+    "--least", type=float, default=0.0, help="Fail if a class or team is served less than this."
+)
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 def timeline(logs: tuple[Path, ...], day: str | None, least: float, as_json: bool) -> None:
-    """For each fault: first doubt, verdict, view, decision, and what it cost.
+    """Show for each fault the first suspicion (doubt), verdict, view, decision, and its cost.
 
-    LOGS are printouts at `info`, or folders of a lab's logs. Times are s after the fault. Served
-    is the part done of what was accepted and not cancelled; started and in time stand beside it.
-    "largest" are the tenth of a class's jobs with the most CPUs. Exit status 1 where a class, a
-    team or a class's largest are served less than `--least`, or the largest begin after 240 s.
+    LOGS are log files at level `info`, or folders of a lab's logs. Times are in s after the fault.
+    "served" is the share of the accepted and not cancelled jobs that were done, shown with the
+    shares started and in time. "largest" is the tenth of a class's jobs with the most CPUs. Exit
+    status 1 if a class, a team or a class's largest jobs are served less than `--least`, or its
+    largest jobs begin after 240 s.
     """
     faults: list[tuple[float, str]] = []
     if day is not None:
@@ -40,18 +45,18 @@
             raise UserError(f"--day {day}: {error}") from error
     events = tl.read(logs)
     if not events:
-        raise UserError("no line of a controller's log is in there; was LOG_LEVEL error?")
-    told = tl.report(events, faults)
+        raise UserError("the logs have no line of a controller; was LOG_LEVEL set to error?")
+    report = tl.report(events, faults)
     served = tl.service_shares(events)
-    low = tl.underserved(served, least)
+    underserved = tl.underserved(served, least)
     if as_json:
-        print(json.dumps(told | {"under_least": low}))
-        raise SystemExit(1 if low else 0)
+        print(json.dumps(report | {"under_least": underserved}))
+        raise SystemExit(1 if underserved else 0)
     console = Console()
     table = Table(box=None)
     for title in ("at", "fault", *COLUMNS):
         table.add_column(title.replace("_", " "), justify="left" if title == "fault" else "right")
-    for row in told["faults"]:
+    for row in report["faults"]:
         cells = ["" if row[key] is None else f"{row[key]:g}" for key in COLUMNS]
         table.add_row(f"{row['at']:g}", row["fault"], *cells)
     console.print(table)
@@ -65,11 +70,11 @@
         )  # fmt: skip
     console.print(shares)
     console.print(
-        f"left the view {told['left']} times; {told['lost']} attempts lost to leases;"
-        f" {told['returned']} machines returned as silent"
+        f"left the view {report['left']} times; {report['lost']} attempts lost to leases;"
+        f" {report['returned']} machines returned as silent"
     )
-    if low:
-        console.print(f"served less than {least:g}, or begun too late: {', '.join(low)}")
+    if underserved:
+        console.print(f"served less than {least:g}, or begun too late: {', '.join(underserved)}")
         raise SystemExit(1)
 
 
@@ -78,7 +83,7 @@
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 def suspect(hours: float, seed: int, as_json: bool) -> None:
-    """Detectors on the same generated intervals: wrong doubts and verdicts, delays (simulated)."""
+    """Compare detectors on the same simulated intervals: wrong suspicions, verdicts, delays."""
     from coveflow.lab import detector_comparison as su
 
     found = su.measure(hours, seed)
--- a/coveflow/cli/trace.py
+++ b/coveflow/cli/trace.py
@@ -17,7 +17,7 @@
 from coveflow import settings as s
 from coveflow.cli.errors import UserError
 
-FOLDER = click.Path(path_type=Path)
+PATH = click.Path(path_type=Path)
 
 
 @click.group()
@@ -26,14 +26,16 @@
 
 
 @trace.command()
-@click.option("--config", type=FOLDER, required=True, help="Settings of any controller (TOML).")
-@click.option("--out", type=FOLDER, required=True, help="Folder of the trace; it is continued.")
+@click.option("--config", type=PATH, required=True, help="Settings of any controller (TOML).")
+@click.option(
+    "--out", type=PATH, required=True, help="Folder of the trace; an existing one is continued."
+)
 @click.option("--for", "for_s", type=float, help="Seconds to record; default: until Ctrl-C.")
 def record(config: Path, out: Path, for_s: float | None) -> None:
-    """Follow whichever controller leads, through take-overs and restarts."""
+    """Record the events of the current leader, across leader changes and restarts."""
     import aiohttp
 
-    from coveflow.cli.lab import driven
+    from coveflow.cli.lab import run_until_signal
     from coveflow.trace.files import TraceError
     from coveflow.trace.record import Recorder
 
@@ -47,7 +49,7 @@
             return recorder
 
     try:
-        recorder = driven(run())
+        recorder = run_until_signal(run())
     except (TraceError, OSError) as error:
         raise UserError(str(error)) from error
     manifest = recorder.writer.manifest
@@ -56,7 +58,7 @@
 
 
 @trace.command()
-@click.argument("folder", type=FOLDER)
+@click.argument("folder", type=PATH)
 @click.option("--job", help="Only this job.")
 @click.option("--machine", help="Only this machine.")
 @click.option("--kind", multiple=True, help="Only these kinds.")
@@ -66,7 +68,7 @@
     folder: Path, job: str | None, machine: str | None, kind: tuple[str, ...], most: int,
     as_json: bool,
 ) -> None:  # fmt: skip
-    """Show events, all or of one job or machine."""
+    """Show all events, or those of one job, machine or kind."""
     from coveflow.trace.files import TraceError, read
 
     rows = []
@@ -93,11 +95,11 @@
     for name in ("time", "epoch", "event", "task", "machine", "more"):
         table.add_column(name, overflow="fold")
     for event in rows:
-        table.add_row(*_cells(event))
+        table.add_row(*_row_cells(event))
     Console().print(table)
 
 
-def _cells(event: Any) -> list[str]:
+def _row_cells(event: Any) -> list[str]:
     f = dict(event.fields)
     at = time.strftime("%H:%M:%S", time.localtime(event.at)) + f"{event.at % 1:.3f}"[1:]
     task = str(f.pop("job", ""))
@@ -116,37 +118,37 @@
 
 
 @trace.command()
-@click.argument("folder", type=FOLDER)
+@click.argument("folder", type=PATH)
 @click.option("--json", "as_json", is_flag=True)
 def verify(folder: Path, as_json: bool) -> None:
-    """Check a trace: sums, order, and that every gap is told. Exit status 1 if it is wrong."""
+    """Check a trace: checksums, order, a record of every gap. Exit status 1 if it is wrong."""
     from coveflow.trace.files import TraceError, verify
 
     try:
-        found = verify(folder)
+        result = verify(folder)
     except TraceError as error:
         raise UserError(str(error)) from error
     if as_json:
-        row = {"rows": found.rows, "epochs": found.epochs, "gaps": found.gaps}
-        click.echo(json.dumps(row | {"wrong": found.wrong}))
+        row = {"rows": result.rows, "epochs": result.epochs, "gaps": result.gaps}
+        click.echo(json.dumps(row | {"wrong": result.wrong}))
     else:
-        leads = ", ".join(f"{e}: {n}" for e, n in sorted(found.epochs.items()) if e)
-        click.echo(f"{folder}: {found.rows} rows; events by lead {leads or 'none'}")
-        for gap in found.gaps:
+        events_by_epoch = ", ".join(f"{e}: {n}" for e, n in sorted(result.epochs.items()) if e)
+        click.echo(f"{folder}: {result.rows} rows; events by lead {events_by_epoch or 'none'}")
+        for gap in result.gaps:
             last = "?" if gap["last"] is None else gap["last"]
             click.echo(f"gap: {gap['of']}/{gap['first']} to {last}: {gap['why']}")
-        for text in found.wrong:
+        for text in result.wrong:
             click.echo(f"wrong: {text}", err=True)
-        if not found.wrong:
+        if not result.wrong:
             click.echo("whole: nothing is doubled, and nothing is missing that is not told")
-    sys.exit(1 if found.wrong else 0)
+    sys.exit(1 if result.wrong else 0)
 
 
 @trace.command()
-@click.argument("folders", nargs=-1, required=True, type=FOLDER)
-@click.option("--out", type=FOLDER, required=True, help="Folder of the new trace.")
+@click.argument("folders", nargs=-1, required=True, type=PATH)
+@click.option("--out", type=PATH, required=True, help="Folder of the new trace.")
 def merge(folders: tuple[Path, ...], out: Path) -> None:
-    """One trace of several recorders' traces of the same cluster, in large segments."""
+    """Merge several recorders' traces of one cluster into one trace with large segments."""
     from coveflow.trace.files import TraceError, merge
 
     try:
--- a/coveflow/cli/whatif.py
+++ b/coveflow/cli/whatif.py
@@ -1,4 +1,4 @@
-"""`coveflow whatif`: a recorded evening again, as it was or changed."""
+"""`coveflow whatif`: replays a recorded trace, with or without changes."""
 
 from __future__ import annotations
 
@@ -14,26 +14,28 @@
 from coveflow import forms
 from coveflow.cli.errors import UserError
 
-FOLDER = click.Path(path_type=Path)
+PATH = click.Path(path_type=Path)
 
 
 @click.command()
-@click.argument("trace", type=FOLDER)
-@click.option("--change", type=FOLDER, help="What is to be different (S-expressions).")
-@click.option("--seeds", default=8, show_default=True, help="Runs; what is not known is drawn.")
+@click.argument("trace", type=PATH)
+@click.option("--change", type=PATH, help="Changes to apply (S-expressions).")
+@click.option(
+    "--seeds", default=8, show_default=True, help="Runs; each draws the unknown values anew."
+)
 @click.option("--first-seed", default=1, show_default=True)
-@click.option("--by", "by", help="Will it be done by then? HH:MM, or seconds after the start.")
-@click.option("--class", "workload", help="Ask that of this class only.")
-@click.option("--against", type=FOLDER, help="Trace of the evening that then came.")
-@click.option("--out", type=FOLDER, help="Folder for report.html, summary.json, jobs.parquet.")
+@click.option("--by", "by", help="Ask what is done by then: HH:MM, or seconds after the start.")
+@click.option("--class", "workload", help="With --by: only jobs of this class.")
+@click.option("--against", type=PATH, help="Trace of what then happened, to compare with.")
+@click.option("--out", type=PATH, help="Folder for report.html, summary.json, jobs.parquet.")
 @click.option("--processes", type=int, help="Runs at the same time; default: one per core.")
-@click.option("--json", "as_json", is_flag=True, help="The summary as JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Print the summary as JSON.")
 def whatif(
     trace: Path, change: Path | None, seeds: int, first_seed: int, by: str | None,
     workload: str | None, against: Path | None, out: Path | None, processes: int | None,
     as_json: bool,
 ) -> None:  # fmt: skip
-    """Replay TRACE, changed or not, and say when each job would have been done."""
+    """Replay TRACE, with or without changes; prints when jobs would have been done."""
     from coveflow.trace.files import TraceError
     from coveflow.whatif import changes as ch
     from coveflow.whatif import replay as rp
@@ -45,13 +47,13 @@
     console = Console(stderr=True)
     try:
         replay = rp.load(trace)
-        came = rp.load(against) if against is not None else None
+        actual = rp.load(against) if against is not None else None
     except TraceError as error:
         raise UserError(str(error)) from error
     changes = ch.load(change, replay.start) if change is not None else ch.Changes()
     question = None
     if by is not None:
-        value: object = by if ":" in by else _number(by)
+        value: object = by if ":" in by else _parse_seconds(by)
         text = by if ":" in by else f"{by} s after the start"
         question = Question(ch.parse_time(value, "--by", replay.start), text, workload)
     columns = (
@@ -71,26 +73,26 @@
     else:
         if question is not None:
             click.echo(answer(found, question))
-        _print(found, Console())
-    for row in found.against(came) if came is not None else ():
-        held = "inside" if row["inside"] else "outside"
+        _print_result(found, Console())
+    for row in found.against(actual) if actual is not None else ():
+        position = "inside" if row["inside"] else "outside"
         click.echo(
             f"{row['class']} {row['figure']}: came {row['came']:.1f}, foreseen"
             f" {row['foreseen']:.1f} ({row['low']:.1f} to {row['high']:.1f}),"
-            f" off by {row['off']:+.1%}, {held} the range",
+            f" off by {row['off']:+.1%}, {position} the range",
             err=as_json,
         )
     sys.exit(1 if found.broken() else 0)
 
 
-def _number(text: str) -> float:
+def _parse_seconds(text: str) -> float:
     try:
         return float(text)
     except ValueError:
         raise forms.FormError(f"--by: {text} is neither seconds nor HH:MM") from None
 
 
-def _print(found, console: Console) -> None:
+def _print_result(found, console: Console) -> None:
     table = Table(box=None, header_style="bold", pad_edge=False)
     for name in ("class", "jobs", "by deadline", "(was)", "median s", "(was)", "wait s", "undone"):
         table.add_column(name, justify="left" if name == "class" else "right")
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line: what a user can put right is one line with its cure, and status 2."""
+"""The command line: a user error prints one line that says how to correct it, and exits with 2."""
 
 import json
 from pathlib import Path
@@ -16,18 +16,18 @@
 LAB = Path(forms.__file__).parent / "lab" / "sites" / "demo.scm"
 
 
-def run(*words):
-    return CliRunner().invoke(cli, [str(word) for word in words])
+def invoke(*arguments):
+    return CliRunner().invoke(cli, [str(arg) for arg in arguments])
 
 
-def test_every_command_is_there_and_has_help():
-    shown = run("--help").output
+def test_every_command_is_listed_and_has_help():
+    shown = invoke("--help").output
     for name in COMMANDS:
         assert name in shown
-        assert run(name, "--help").exit_code == 0
+        assert invoke(name, "--help").exit_code == 0
 
 
-def test_check_reads_each_kind_of_file_and_names_the_first_fault(tmp_path):
+def test_check_accepts_each_kind_of_file_and_reports_the_first_error(tmp_path):
     files = {
         "a.toml": DEPLOY,
         "b.scm": "; tuning\n(coveflow (cycle-s 2) (class x (repeat no)))",
@@ -38,16 +38,16 @@
     }
     for name, text in files.items():
         (tmp_path / name).write_text(text)
-    good = run("check", "--json", *(tmp_path / name for name in files))
+    good = invoke("check", "--json", *(tmp_path / name for name in files))
     assert good.exit_code == 0
     assert all(json.loads(line)["good"] for line in good.output.splitlines())
     (tmp_path / "e.scm").write_text("(change (controllers none))")
-    bad = run("check", "--json", tmp_path / "e.scm")
+    bad = invoke("check", "--json", tmp_path / "e.scm")
     assert bad.exit_code == 2 and "controllers" in json.loads(bad.output)["error"]
 
 
 @pytest.mark.parametrize(
-    ("words", "named"),
+    ("arguments", "expected"),
     [
         (["status", "j-1"], "--at"),
         (["submit", "--at", "127.0.0.1:1"], "--file"),
@@ -60,23 +60,23 @@
         (["held", "list", "--config", "nowhere.toml"], "nowhere.toml"),
     ],
 )
-def test_a_wrong_call_names_the_cure(words, named, tmp_path, monkeypatch):
+def test_user_error_names_the_correction(arguments, expected, tmp_path, monkeypatch):
     monkeypatch.chdir(tmp_path)
     monkeypatch.delenv("COVEFLOW_AT", raising=False)
-    result = run(*words)
+    result = invoke(*arguments)
     assert isinstance(result.exception, UserError | s.SettingsError | forms.FormError)
-    assert named in str(result.exception)
+    assert expected in str(result.exception)
 
 
-def test_a_trace_is_shown_and_verified_for_programs(tmp_path):
+def test_trace_show_and_verify_print_json(tmp_path):
     whole_trace(tmp_path / "t")
     rows = [
         json.loads(line)
-        for line in run("trace", "show", tmp_path / "t", "--json").output.split("\n")
+        for line in invoke("trace", "show", tmp_path / "t", "--json").output.split("\n")
         if line
     ]
     assert [row["number"] for row in rows] == list(range(1, 11))
-    assert json.loads(run("trace", "verify", tmp_path / "t", "--json").output)["wrong"] == []
+    assert json.loads(invoke("trace", "verify", tmp_path / "t", "--json").output)["wrong"] == []
     (tmp_path / "t" / "seg-000001.parquet").unlink()
-    broken = run("trace", "verify", tmp_path / "t")
+    broken = invoke("trace", "verify", tmp_path / "t")
     assert broken.exit_code == 1
