--- a/coveflow/cli/lab.py
+++ b/coveflow/cli/lab.py
@@ -180,7 +180,7 @@
         done = record.spec.tasks if record.status == "done" else record.done
         table.add_row(
             record.spec.id, record.spec.workload, str(record.spec.tasks),
-            f"{record.due - workload_run.began:.1f} s",
+            f"{record.due - workload_run.started_at:.1f} s",
             f"[{style}]{record.status}[/]" if style else record.status, str(done), took, deadline,
         )  # fmt: skip
     return table
@@ -244,7 +244,7 @@
     console.print(f"money: {paid:.4f} at the lab's prices")
     for b in broken:
         console.print(
-            f"[bold red]broken rule[/] {b.rule} at {b.at - workload_run.began:.1f} s: {b.text}"
+            f"[bold red]broken rule[/] {b.rule} at {b.at - workload_run.started_at:.1f} s: {b.text}"
         )
     if not broken:
         console.print("[bold green]no rule was broken[/]")
@@ -466,9 +466,8 @@
             folder = Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="coveflow-")))
         for known in counts:
             lab_folder = folder / f"known-{known}"
-            click.echo(json.dumps(
-                run_until_signal(tasks.measure_latencies(lab_file(site), lab_folder, known, for_s, rates))
-            ))  # fmt: skip
+            work = tasks.measure_latencies(lab_file(site), lab_folder, known, for_s, rates)
+            click.echo(json.dumps(run_until_signal(work)))
 
 
 @lab.command("task-flood")
--- a/coveflow/cli/scale.py
+++ b/coveflow/cli/scale.py
@@ -134,7 +134,7 @@
 
     Exit status 1 if a rule is broken or accepted work never ends.
     """
-    from coveflow.cli.lab import driven
+    from coveflow.cli.lab import run_until_signal
     from coveflow.lab import scale_run as runs
     from coveflow.lab.scale import Load, LoadLimitError
 
--- a/coveflow/daemon/machine_manager.py
+++ b/coveflow/daemon/machine_manager.py
@@ -319,8 +319,9 @@
         for name, zone, before in self.zones.update(now, seen):
             zone_seen = seen[name]
             log.warning(
-                "zone", zone=name, state=zone.state, before=before, silent=zone_seen.silent_machines,
-                machines=zone_seen.machines, inside=zone_seen.lost_controllers,
+                "zone", zone=name, state=zone.state, before=before,
+                silent=zone_seen.silent_machines, machines=zone_seen.machines,
+                inside=zone_seen.lost_controllers,
                 for_s=round(now - zone.cut_at, 1),
             )  # fmt: skip
             self.state.rental_due = True
--- a/coveflow/daemon/reports.py
+++ b/coveflow/daemon/reports.py
@@ -212,7 +212,7 @@
             report, new_session, wants_answer, lease_s, self.state.leading, now
         ):
             log.warning(
-                "machine receives no answers" if hearing.not_receiving else "machine receives answers again",
+                "machine does not hear" if hearing.not_receiving else "machine hears again",
                 machine=m.id, tasks=len(m.placements), tenure=report.tenure,
             )  # fmt: skip
             self.state.tell("deaf" if hearing.not_receiving else "hears", machine=m.id)
--- a/coveflow/membership/leadership.py
+++ b/coveflow/membership/leadership.py
@@ -87,7 +87,7 @@
             # The node reaches the state service but neither workers nor peers.
             why = "cut off from workers and peers"
         elif self.owner.leading and self.is_slow():
-            why = "process lags behind its timers"
+            why = "late with everything"
         if not why:
             return
         try:
@@ -151,7 +151,7 @@
                     after = await self._list()
                 if self._should_take_over():
                     restarts = self._restarts_repeatedly()
-                    if not (restarts and await self._hand_over("process restarts repeatedly")):
+                    if not (restarts and await self._hand_over("ended again and again")):
                         after = await self._take_over()
                 opened = self.clock()
                 # A node that has not joined yet polls at short intervals: the event of its joining
--- a/tests/test_limits_meetings.py
+++ b/tests/test_limits_meetings.py
@@ -645,7 +645,8 @@
         state, now = self.state(), self.world.now
         waiting = set() if state is None else {
             j.id for j in state.jobs.values()
-            if j.cancelled is None and j.pending and j.not_before <= now and self._fits(state, j, now)
+            if j.cancelled is None and j.pending and j.not_before <= now
+            and self._fits(state, j, now)
         }  # fmt: skip
         for name in set(self.since) - waiting:
             del self.since[name]
