--- a/coveflow/core/placement.py
+++ b/coveflow/core/placement.py
@@ -6,7 +6,12 @@
 import math
 from collections.abc import Iterable, Iterator, Mapping
 
-from coveflow.constants import FIRST_START_SHARE, READY_S, RESERVED_CAPACITY_WAIT_S, TIMELINE_STEP_S
+from coveflow.constants import (
+    EXPECTED_WORK_S,
+    FIRST_START_SHARE,
+    RESERVED_CAPACITY_WAIT_S,
+    TIMELINE_STEP_S,
+)
 from coveflow.core.capacity_index import PoolKey, slowness
 from coveflow.core.model import Job, Spec, max_tasks_per_zone
 from coveflow.core.planner_state import (
@@ -104,7 +109,7 @@
                 )
         elif demand_rate or guaranteed_to_others:
             free = sum(capacity.count_fitting(size) for capacity in pool.capacities)
-            spare[key] = math.floor(free - guaranteed_to_others - demand_rate * READY_S)
+            spare[key] = math.floor(free - guaranteed_to_others - demand_rate * EXPECTED_WORK_S)
         if spare.get(key, 1) <= 0:
             continue
         eligible.append(key)
