--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -11,7 +11,7 @@
 from coveflow.cli.errors import UserError
 from coveflow.cli.main import COMMANDS, cli
 from tests.test_settings import DEPLOY
-from tests.test_trace import whole_trace
+from tests.test_trace import write_trace
 
 LAB = Path(forms.__file__).parent / "lab" / "sites" / "demo.scm"
 
@@ -69,7 +69,7 @@
 
 
 def test_trace_show_and_verify_print_json(tmp_path):
-    whole_trace(tmp_path / "t")
+    write_trace(tmp_path / "t")
     rows = [
         json.loads(line)
         for line in invoke("trace", "show", tmp_path / "t", "--json").output.split("\n")
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -115,9 +115,9 @@
     world, _ = play()
     world.crash("host-1", 60.0)
     world.run(FAULT_S + 4.0)
-    assert "host-0" in {world.fleet.at[name] for name in world.fleet.workers}
+    assert "host-0" in {world.fleet.last_node[name] for name in world.fleet.workers}
     world.run(FAULT_S + 20.0)
-    assert "host-0" not in {world.fleet.at[name] for name in world.fleet.workers}
+    assert "host-0" not in {world.fleet.last_node[name] for name in world.fleet.workers}
     finish(world)
     assert lost(world) == 0
 
--- a/tests/test_report_handler.py
+++ b/tests/test_report_handler.py
@@ -447,7 +447,7 @@
     body = cbor2.dumps({"boot": "x", "reports": [*bad, good], "seen": [b"", good]})
     for _ in range(50):
         assert asyncio.run(handler.intake.answer_batch("", body))[0] == 200
-    assert len(heard) == 100 and [h.asked for h in heard[:2]] == [True, False]
+    assert len(heard) == 100 and [h.expects_answer for h in heard[:2]] == [True, False]
     for wrong in ({"reports": 3}, {"boot": "x", "reports": [], "seen": 3}):
         assert asyncio.run(handler.intake.answer_batch("", cbor2.dumps(wrong)))[0] == 400
     logged = [r for r in caplog.records if r.getMessage() == "reports that can't be read"]
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -247,7 +247,7 @@
     # While the recorder is down, a leader's process ends, a whole epoch passes, a buffer overflows.
     del cluster.tracers["b"]
     cluster.lead("a", 4, size=1000)
-    cluster.tracers["a"].leads[4] = type(cluster.tracers["a"].leads[4])(maxlen=10)
+    cluster.tracers["a"].epochs[4] = type(cluster.tracers["a"].epochs[4])(maxlen=10)
     cluster.emit("a", 4, 25)
     asyncio.run(cluster.record(tmp_path, 0.8))
     found = verify(tmp_path)
--- a/tests/test_user_consistency.py
+++ b/tests/test_user_consistency.py
@@ -333,7 +333,7 @@
         for after_s in (-0.005, 0.005, 0.1, 1.0, 1.3, 2.0):
             world.at(max(at + after_s, world.now), lambda: world.poll_all_nodes(name))
 
-    world._ended = ended
+    world._on_job_end = ended
     for i in range(JOBS):
         world.at(BEGIN_S + 0.4 * i, lambda i=i: world.submit(job(i, shape), f"host-{i % 3}"))
     world.run(BEGIN_S + 0.4 * JOBS + 10.0)
