--- a/coveflow/cli/__init__.py
+++ b/coveflow/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's toolbox: one command with sub-commands that load only what they need."""
+"""The command line for operators and users; each sub-command loads only what it needs."""
--- a/coveflow/core/failure_detector.py
+++ b/coveflow/core/failure_detector.py
@@ -65,7 +65,7 @@
         self._sum2 += interval * interval
 
     def level(self, now: float, min_interval_s: float = 0.0) -> float:
-        """The suspicion level, up to `DOUBT_MOST`; 0 before the first heartbeat.
+        """The suspicion level, up to `SUSPICION_MAX_LEVEL`; 0 before the first heartbeat.
 
         `min_interval_s` is the current heartbeat interval of the link; the mean is taken to be at
         least that. Otherwise a link whose interval is raised is suspected until the window has been
--- a/coveflow/core/fleet.py
+++ b/coveflow/core/fleet.py
@@ -234,9 +234,10 @@
     ) -> tuple[list[RentalRequest], list[str]]:
         """Return the rentals to request and the machines to return.
 
-        Nothing is requested in the zones in `shut`. `prompt` says whether a job belongs to a class
-        that must start promptly and still receives jobs; `expected` says whether any such class
-        exists. If none does, no machines are kept up for it.
+        Nothing is requested in the zones in `excluded_zones`. `is_prompt` says whether a job
+        belongs to a class that must start promptly and still receives jobs;
+        `prompt_work_expected` says whether any such class exists. If none does, no machines are
+        kept up for it.
         """
         by_name = {f.name: f for f in flavors}
         if prompt_work_expected:
--- a/coveflow/core/overload.py
+++ b/coveflow/core/overload.py
@@ -28,7 +28,7 @@
         self._busy_s += seconds
 
     def update(self, now: float) -> float:
-        """The share up to `now` (s); older time decays with time constant `BUSY_FADE_S`."""
+        """The share up to `now` (s); older time decays with time constant `BUSY_DECAY_S`."""
         elapsed = now - self._at
         if elapsed > 0.0:
             kept = math.exp(-elapsed / c.BUSY_DECAY_S)
--- a/coveflow/core/placement.py
+++ b/coveflow/core/placement.py
@@ -51,9 +51,9 @@
     """Choose machines for up to `want` tasks and allocate them; a gang gets all or none.
 
     A job within a guarantee or of a class with goals may use any free capacity (`first`); other
-    jobs leave accelerators for expected ones of that kind. A job that has waited for LENT_S and of
-    which nothing runs may start a part of its tasks on capacity that is kept for others, who may
-    preempt it there.
+    jobs leave accelerators for expected ones of that kind. A job that has waited for
+    RESERVED_CAPACITY_WAIT_S and of which nothing runs may start a part of its tasks on capacity
+    that is kept for others, who may preempt it there.
     """
     chosen = _choose_machines(job, want, view, state, predicted_s, full, first, False)
     if chosen or job.placed or state.now - state.arrived_at[job.id] < RESERVED_CAPACITY_WAIT_S:
--- a/coveflow/core/wait_reasons.py
+++ b/coveflow/core/wait_reasons.py
@@ -31,8 +31,8 @@
 ) -> str:
     """Return the first reason why the next task cannot start; empty if no task is waiting.
 
-    `closed` maps (type, zone, spot) to the time until which a refusal counts; `booting` has the
-    (type, zone, spot) of rented machines that are not up yet.
+    `refused_until` maps (type, zone, spot) to the time until which a refusal counts; `booting` has
+    the (type, zone, spot) of rented machines that are not up yet.
     """
     if not job.pending:
         if job.held:
--- a/coveflow/daemon/mailbox.py
+++ b/coveflow/daemon/mailbox.py
@@ -34,7 +34,7 @@
     """A node's mail, as stored."""
 
     boot: str  # the process that wrote it
-    reports: dict[str, Any]  # rows of `wire.mail_report` by machine, validated one by one
+    reports: dict[str, Any]  # rows of `wire.mail_report_row` by machine, validated one by one
     alive: list[str]  # machines whose leases the node keeps alive
     number: int = 0  # sequence number within the process
 
--- a/coveflow/membership/__init__.py
+++ b/coveflow/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who leads and who is in doubt: the view, this node's hold, its peers, what is handed over."""
+"""Leadership and suspicion: the view, the node's lease, its peers and handovers."""
--- a/coveflow/net/__init__.py
+++ b/coveflow/net/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of outside services: pacing, tolerant requests, what the budgets go into."""
+"""Clients of external services: rate limits, retries, timeouts and meters."""
--- a/coveflow/whatif/world.py
+++ b/coveflow/whatif/world.py
@@ -440,7 +440,7 @@
     # --- users -------------------------------------------------------------------------
 
     def submit(self, spec: Spec, rider: Any = None) -> None:
-        """Accept a job at once, as `Front` does after its commit.
+        """Accept a job at once, as `UserApi` does after its commit.
 
         `rider` is the extra record of another interface.
         """
